--- a/src/api.rs
+++ b/src/api.rs
@@ -1,8 +1,9 @@
-//! The interface of the decision module: its settings, events and actions. Types only.
+//! Types of the decision module's interface: its settings, the events that it is given and the actions that it
+//! returns.
 //!
 //! Times and durations are whole microseconds on the caller's clock.
 
-/// A moment or a duration, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
 macro_rules! ids {
@@ -14,13 +15,13 @@
 }
 
 ids! {
-    /// A client's request; a client's retry has a new one.
+    /// Identifies one request; a client's retry gets a new id.
     RequestId(u64);
-    /// A reader, writer or mixed host.
+    /// Identifies a reader, a writer or a mixed host.
     HostId(u32);
     /// An index into the deployment's zones.
     ZoneId(usize);
-    /// A cell: hosts with fast links among them. No two zones share one.
+    /// Identifies a cell: hosts of one zone that are connected by fast links.
     CellId(i64);
     /// An index into [`Settings::kinds`].
     KindId(usize);
@@ -28,25 +29,25 @@
     ClassId(usize);
     /// An index into [`Settings::tenants`].
     TenantId(usize);
-    /// A session or a shared beginning, hashed the same way at every router.
+    /// The hash of a session or of a shared prompt prefix, the same at every router.
     TextKey(u64);
-    /// The number of a request's attempt, from 0 in order of sending.
+    /// The number of an attempt within its request, counted from 0 in the order of sending.
     AttemptId(u32);
 }
 
-/// What a kind of host can do.
+/// The work that a kind of host does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// Reads prompts.
+    /// A reader: reads prompts (prefill).
     #[default]
     Read,
-    /// Writes answers from a read state.
+    /// A writer: writes answers (decode) from a state that a reader holds.
     Write,
-    /// Writes answers, reading the prompt itself when there is no state.
+    /// A mixed host: writes answers and reads the prompt itself when there is no state.
     Both,
 }
 
-/// The hosts that together drop repeats of a keyed request.
+/// The hosts among which repeats of a request with an idempotency key are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     /// All hosts.
@@ -57,109 +58,109 @@
     Cell,
 }
 
-/// What a repeat of a request does.
+/// The effect of running a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// A repeat is harmless.
     Safe,
-    /// A repeat is dropped within the group, for so long after the first send that may have run.
+    /// A repeat within the group is dropped, for this long after the first send that may have run.
     Keyed(Group, Micros),
-    /// A repeat does harm unless no earlier attempt ran.
+    /// A repeat is harmful if an earlier attempt may have run.
     Unsafe,
 }
 
 /// A class of request.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Time within which the first token earns full worth.
+    /// Time to first token within which the answer earns full worth.
     pub aim: Micros,
-    /// What each 1,000 prompt tokens add to the aim.
+    /// Time that each 1,000 prompt tokens add to the target for the first token.
     pub aim_per_1000: Micros,
-    /// The client's whole patience over all its tries.
+    /// Total time that the client allows over all its tries.
     pub deadline: Micros,
-    /// Wanted mean time between tokens.
+    /// Target for the mean time per output token.
     pub token_aim: Micros,
     /// Worth of one request, or of one unit of its work.
     pub worth: f64,
     /// Share of the worth that a late answer earns.
     pub late_worth: f64,
-    /// What a repeat does.
+    /// The effect of a repeat.
     pub effect: Effect,
 }
 
 /// A kind of host.
 #[derive(Clone, Debug)]
 pub struct Kind {
-    /// What it does.
+    /// The work that it does.
     pub role: Role,
-    /// Its memory, in tokens; none when it is not told.
+    /// Its memory in tokens; `None` if it is not known.
     pub memory: Option<f64>,
 }
 
 /// A tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second inside its share, over all routers.
+    /// Requests per second that its quota allows, over all routers.
     pub quota_per_s: f64,
-    /// Part of the fleet's work that it has first call on while others wait; none where all have the same.
+    /// Share of the fleet's work to which it has priority while others wait; `None` where all tenants are equal.
     pub share: Option<f64>,
 }
 
-/// What may be spent, over all routers.
+/// Retry and slow-start budgets, over all routers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Budgets {
-    /// Repeated attempts for each request taken in, in the mean; none where nothing but [`Limits::max_attempts`] bounds them.
+    /// Mean number of repeated attempts for each accepted request; `None` if only [`Limits::max_attempts`] bounds them.
     pub retries: Option<f64>,
-    /// Part of what a cold host falls over at that it is sent; none for the module's own.
+    /// Share that a cold host is sent of the load that would overload it; `None` for the module's default.
     pub cold: Option<f64>,
 }
 
-/// The figures of the rules.
+/// Times and figures of the rules that the decisions obey.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// How long after the deadline a final answer still counts.
+    /// Time after the deadline within which a final answer still counts.
     pub answer_slack: Micros,
-    /// How long after notice of a drain sends must have stopped.
+    /// Time after the notice of a drain by which sends must have stopped.
     pub drain_grace: Micros,
-    /// Where the list is asked for: after so long without asking, what was listed then counts as told.
+    /// Where the list has to be asked for: after this long without asking, the list of that time counts as received.
     pub ask_within: Micros,
-    /// Multiple of present capacity that makes a cold host fall...
+    /// Multiple of its present capacity at which a cold host fails when sent over [`Rules::overload_for`].
     pub fall_multiple: f64,
-    /// ...when sent over a window of this length.
+    /// Length of the window over which the load of a cold host is measured.
     pub overload_for: Micros,
-    /// Time by which a started host is warm.
+    /// Time after its start at which a host is warm.
     pub ramp_time: Micros,
-    /// Share of its capacity with which a host starts, at least.
+    /// Least share of its capacity with which a host starts.
     pub start_capacity: f64,
-    /// How long a state or place may be held while no attempt is out.
+    /// Longest time for which a state or a reserved place may be held while no attempt is in flight.
     pub pin_limit: Micros,
 }
 
-/// What the deployment allows.
+/// Features and limits of the deployment.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
     /// Attempts can be withdrawn.
     pub cancel: bool,
-    /// A request may have two attempts out at once.
+    /// A request may have two attempts in flight at once.
     pub copies: bool,
     /// Hosts may be probed.
     pub probes: bool,
-    /// Most attempts for one request.
+    /// Most attempts for one request, its reads and writes together.
     pub max_attempts: u32,
-    /// Longest come-back time that clients heed; none where they are not told one.
+    /// Longest retry-after time that clients obey; `None` if they are not given one.
     pub come_back: Option<Micros>,
-    /// A writer may have a place held ahead.
+    /// A place may be reserved at a writer before the prompt is read.
     pub ahead: bool,
-    /// A broken stream's client comes again and goes on from its last token.
+    /// The client of a broken stream sends the request again and resumes from its last token.
     pub resume: bool,
-    /// A writer reads a prompt itself when there is no state.
+    /// Writers read a prompt themselves when there is no state.
     pub writers_read: bool,
 }
 
-/// What a router is told at its start.
+/// The settings of a router.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// How many routers serve this fleet.
+    /// Number of routers that serve this fleet.
     pub routers: u32,
     /// This router's zone.
     pub zone: ZoneId,
@@ -169,34 +170,34 @@
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Weights of the zones in the choice of hosts; 1 where there is none.
+    /// Weight of each zone in the choice of hosts; 1 for a zone without an entry.
     pub zone_weights: Vec<f64>,
-    /// What may be spent.
+    /// Retry and slow-start budgets.
     pub budgets: Budgets,
-    /// Figures of the rules.
+    /// Times and figures of the rules.
     pub rules: Rules,
-    /// What is allowed.
+    /// Features and limits of the deployment.
     pub limits: Limits,
-    /// The list of hosts must be asked for.
+    /// The router has to ask for the list of hosts.
     pub ask_for_list: bool,
 }
 
 /// Whether a host may be sent new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// It runs.
+    /// The host accepts new work.
     #[default]
     Serving,
-    /// It finishes what it has.
+    /// The host finishes the work that it has and gets no more.
     Draining,
-    /// It is gone.
+    /// The host no longer exists.
     Gone,
 }
 
-/// A host as the list tells it.
+/// An entry of the list of hosts.
 #[derive(Clone, Debug, Default)]
 pub struct Member {
-    /// Which host.
+    /// The host.
     pub host: HostId,
     /// Its zone.
     pub zone: ZoneId,
@@ -206,22 +207,22 @@
     pub kind: KindId,
     /// Its phase.
     pub phase: Phase,
-    /// When it last started; none for long ago.
+    /// Time of its last start; `None` if it started long ago.
     pub started: Option<Micros>,
 }
 
-/// A host's own report of its load; each value only where the deployment has it.
+/// A host's report of its load. Each value is present only where the deployment provides it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests held.
+    /// Requests in flight.
     pub in_flight: Option<f64>,
     /// Requests waiting.
     pub waiting: Option<f64>,
     /// Share of slots in use.
     pub busy: Option<f64>,
-    /// Recent time to the end of a read or to the first token.
+    /// Recent time to the end of a read (readers) or to the first token (writers).
     pub latency: Option<Micros>,
-    /// Share of memory held.
+    /// Share of memory in use.
     pub memory: Option<f64>,
     /// Prompt tokens waiting to be read or fetched.
     pub waiting_tokens: Option<f64>,
@@ -230,34 +231,34 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The answer is complete.
     Served,
-    /// The prompt is read and its state waits at the reader.
+    /// The prompt is read, and its state waits at the reader.
     Read,
-    /// Turned away; it never ran.
+    /// Rejected because the host is full; the attempt never ran.
     Full,
-    /// Turned away for want of a state to fetch; it never ran.
+    /// Rejected because there is no state to fetch; the attempt never ran.
     NoState,
-    /// The host returned an error; it may have run.
+    /// The host returned an error; the attempt may have run.
     Error,
-    /// No answer in time; it may have run or be running.
+    /// No answer came in time; the attempt may have run or be running.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be made; the attempt never ran.
     Unreachable,
-    /// Connection lost; it may have run.
+    /// The connection was lost; the attempt may have run.
     Broken,
-    /// The answer could not be read, though its host answers; it may have run.
+    /// The host answered, but the answer could not be parsed; the attempt may have run.
     Spoilt,
-    /// Withdrawn; it may have run.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     Moot,
 }
 
 /// A new request.
 #[derive(Clone, Debug, Default)]
 pub struct NewRequest {
-    /// Which request.
+    /// The id of the request.
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
@@ -265,167 +266,167 @@
     pub tenant: Option<TenantId>,
     /// Its session.
     pub session: Option<TextKey>,
-    /// The beginning it shares with other sessions.
+    /// The prompt prefix that it shares with other sessions.
     pub prefix: Option<TextKey>,
-    /// Tokens of that beginning.
+    /// Tokens of the shared prefix.
     pub prefix_tokens: f64,
     /// Tokens of the whole prompt.
     pub prompt_tokens: f64,
-    /// Most tokens it may produce.
-    pub most_tokens: f64,
-    /// A guess at its stream time at the wanted pace.
-    pub stream_hint: Option<Micros>,
+    /// Most tokens that the answer may have.
+    pub max_output_tokens: f64,
+    /// Expected duration of the stream at the target time per token.
+    pub expected_stream_time: Option<Micros>,
     /// Time until the client gives up this try.
     pub time_left: Micros,
-    /// A client's marked repeat of an earlier try.
-    pub again: bool,
-    /// It resumes a stream that broke or was moved.
-    pub resumed: bool,
-    /// Its answer comes in one piece, with no sign of a first token.
-    pub whole: bool,
+    /// The client marked the request as a retry of an earlier try.
+    pub is_client_retry: bool,
+    /// The request resumes a stream that broke or was moved.
+    pub is_resumed: bool,
+    /// The answer comes in one piece, without a sign of its first token.
+    pub is_unary: bool,
 }
 
-/// What happened.
+/// An input of the router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The list of hosts, whole or only what changed.
-    Hosts {
-        /// Hosts not named are gone.
-        whole: bool,
+    /// The list of hosts, or the entries of it that changed.
+    HostList {
+        /// The list is complete: hosts that it does not name are gone.
+        is_complete: bool,
         /// The hosts.
         members: Vec<Member>,
     },
-    /// Asking for the list failed, or following it broke off.
-    HostsFailed,
+    /// A call for the list of hosts failed, or the watch on it ended.
+    HostListFailed,
     /// A request arrived.
     Request(NewRequest),
-    /// An answer's first token is out.
-    Began {
-        /// Which request.
+    /// The first token of an answer has arrived.
+    FirstToken {
+        /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// The attempt.
         attempt: AttemptId,
-        /// At which host.
+        /// The host that answers.
         host: HostId,
-        /// Time since it was sent.
-        took: Micros,
+        /// Time since the attempt was sent.
+        elapsed: Micros,
     },
     /// An attempt ended.
-    Ended {
-        /// Which request.
+    AttemptEnded {
+        /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// The attempt.
         attempt: AttemptId,
-        /// At which host.
+        /// The host to which it was sent.
         host: HostId,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
         /// The request has its final answer.
-        last: bool,
-        /// Prompt tokens found kept.
-        kept: f64,
-        /// Time since it was sent.
-        took: Micros,
-        /// The host's report, where one came along.
+        is_final: bool,
+        /// Prompt tokens that the host found in its cache.
+        cached_tokens: f64,
+        /// Time since the attempt was sent.
+        elapsed: Micros,
+        /// The load report that came with the answer, if any.
         load: Option<Load>,
     },
-    /// The answer to asking for a place ahead.
-    Place {
-        /// Which request.
+    /// The answer to the reservation of a place at a writer.
+    ReservationAnswered {
+        /// The request.
         request: RequestId,
-        /// At which host.
+        /// The writer.
         host: HostId,
-        /// The place is held.
-        held: bool,
+        /// The place is reserved.
+        is_held: bool,
     },
-    /// The client left; nothing more is owed.
-    Left(RequestId),
-    /// A probe's answer.
-    Probed {
-        /// Which host.
+    /// The client disconnected; it needs no answer.
+    ClientLeft(RequestId),
+    /// A probe ended.
+    ProbeEnded {
+        /// The host that was probed.
         host: HostId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
-        /// The host's report.
+        /// The host's load report.
         load: Option<Load>,
     },
-    /// The process has been told to end: each request must have its answer, or the beginning of its stream, by then. An
-    /// answer that comes as a whole and is waited for already has the time that it had.
+    /// The process shuts down: each request must have its answer, or the beginning of its stream, by a given time. An
+    /// attempt in flight for an answer in one piece keeps the time that it had.
     Shutdown {
-        /// By when.
+        /// Time by which the answers are due.
         answers_until: Micros,
     },
-    /// The process ends soon, and what streams then is cut off: streams are moved while there is time to.
+    /// The process ends soon and cuts off the streams that run then, so that they are moved while there is time.
     MoveStreams,
-    /// Requests that come from now on are decided by these settings. Kinds, classes and tenants are the same ones.
-    Policy(std::rc::Rc<Settings>),
-    /// What all other routers have spent lately, where they tell one another; in place of what was told before.
-    Others(std::rc::Rc<crate::estimate::Spending>),
-    /// A timer ran out.
-    Timer(u64),
+    /// New settings, for requests that arrive from now on. Kinds, classes and tenants are unchanged.
+    SettingsChanged(std::rc::Rc<Settings>),
+    /// Recent spending of all other routers, where routers exchange it; replaces the previous figures.
+    PeerSpending(std::rc::Rc<crate::estimate::Spending>),
+    /// A timer expired; the value is the token of [`Action::SetTimer`].
+    TimerExpired(u64),
 }
 
-/// What to do.
+/// An output of the router: something for the caller to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to a host.
     Send {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// To which host.
+        /// The host to send it to.
         host: HostId,
-        /// Give the attempt up after this long without a first answer.
+        /// Time without a first answer after which the attempt is given up.
         time_out: Micros,
     },
-    /// Withdraw an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// The attempt.
         attempt: AttemptId,
     },
-    /// Final answer: turned away, trying again is harmless.
+    /// Give the final answer that the request is rejected and a retry is safe.
     Refuse {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// When the client should come back.
-        come_back: Option<Micros>,
+        /// Time after which the client should retry.
+        retry_after: Option<Micros>,
     },
-    /// Final answer: failed, nothing promised.
+    /// Give the final answer that the request failed and may have run.
     Fail(RequestId),
-    /// Let go of all that is held for the request.
+    /// Release all that hosts hold for the request.
     Release(RequestId),
-    /// Hold a place for the request at a writer. No decision of the present module asks for it.
-    Ahead {
-        /// Which request.
+    /// Reserve a place for the request at a writer. No present decision asks for it.
+    ReserveWriter {
+        /// The request.
         request: RequestId,
-        /// At which writer.
+        /// The writer.
         host: HostId,
     },
-    /// End a running stream in order, to be resumed elsewhere.
-    Move(RequestId),
-    /// Ask a host how it is.
+    /// End a running stream in an orderly way, to be resumed elsewhere.
+    MoveStream(RequestId),
+    /// Ask a host for its load.
     Probe(HostId),
     /// Close idle connections to a host. No present decision asks for it.
-    Close(HostId),
+    CloseIdleConnections(HostId),
     /// Ask once for the whole list of hosts. No present decision asks for it.
-    List,
-    /// Follow the list of hosts.
-    Follow,
-    /// Wake the router.
-    Wake {
-        /// Comes back with the timer.
+    ListHosts,
+    /// Watch the list of hosts.
+    WatchHosts,
+    /// Set a timer.
+    SetTimer {
+        /// Returned in [`Event::TimerExpired`].
         token: u64,
-        /// After this long.
+        /// Time until the timer expires.
         after: Micros,
     },
-    /// A host has failed so many times in a row; it gets one request at a time until one works.
+    /// Report that a host failed several times in a row; it gets one request at a time until one succeeds.
     Suspect {
-        /// Which host.
+        /// The host.
         host: HostId,
-        /// How many times.
+        /// Number of consecutive failures.
         failures: u32,
     },
-    /// A line for the operators. No present decision says one.
+    /// Write a line to the operators' log. No present decision asks for it.
     Log(String),
 }
--- a/src/control/controller/handle.rs
+++ b/src/control/controller/handle.rs
@@ -11,7 +11,7 @@
 use super::operations::unknown_outcome;
 use crate::control::shared_gate::SharedGate;
 use crate::control::state::{ChangeId, Revision};
-use crate::estimate::Learnt;
+use crate::estimate::FleetEstimates;
 use crate::replica::idempotency::{Decision, Name, Try};
 use crate::replica::marks::Subject;
 use crate::replica::share::Duties;
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 pub enum StateUpdate {
     /// What the module has spent and learnt.
-    Figures(Box<Learnt>),
+    Figures(Box<FleetEstimates>),
     /// How an instance was found.
     Report(String, Report),
     /// A named request is to be sent.
--- a/src/estimate.rs
+++ b/src/estimate.rs
@@ -1,5 +1,5 @@
-//! What is estimated online: means that fade, and the speed curve. No decision is made here; those that decide
-//! ([`crate::logic`]) read it, and what conductors tell one another of it is merged elsewhere.
+//! Online estimates: decaying means, the speed curve of each kind of host and what was spent lately. Decisions are made in
+//! [`crate::logic`], which reads these; the exchange between conductors is elsewhere.
 
 use std::collections::BTreeMap;
 
@@ -7,99 +7,107 @@
 
 use crate::api::{Micros, NewRequest};
 
-/// Microseconds in which what is known of one host fades by half towards what is known of all.
-pub const FADE: f64 = 6e6;
-/// Microseconds in which a mean over all hosts turns half towards a new sample.
-const FLEET_FADE: f64 = 8e6;
+/// Half-life of what is known of one host, which decays towards the mean over all hosts.
+pub const HOST_HALF_LIFE_US: f64 = 6e6;
+/// Time in which a mean over all hosts moves halfway to a new sample.
+const FLEET_HALF_LIFE_US: f64 = 8e6;
 /// Least weight of a new sample in a mean over all hosts.
-pub const FLEET_GAIN: f64 = 0.05;
-/// Ended streams of a kind before its curve is believed.
-const FIT_MIN: f64 = 12.0;
-/// Weight that the fit keeps at each new stream: about its last 300 count.
-const FIT_KEEP: f64 = 0.997;
-/// Rounds of the fit at each new stream, going on from the last one.
-const FIT_STEPS: usize = 20;
-/// Microseconds to read one token, until reads have been seen.
-const READ_COST: f64 = 80.0;
-/// Microseconds from a send to a writer to the first token, until some have been seen.
-const FIRST_TOOK: f64 = 100_000.0;
-
-/// Tokens added to each read for what does not depend on its length.
-pub const READ_EXTRA: f64 = 300.0;
-/// Most that one read weighs, in usual ones.
-const WEIGHT_MOST: f64 = 3.0;
-/// Most weight of one read in a host's own mean, which keeps some of what came before.
-const GAIN_MOST: f64 = 0.75;
-
-/// Sends to a cold host that are not worth remembering any more.
-const LEAST: f64 = 0.01;
-
-/// A mean that fades towards another with age.
+pub const MIN_FLEET_GAIN: f64 = 0.05;
+/// Ended streams of a kind of host before its speed curve is used.
+const MIN_FIT_STREAMS: f64 = 12.0;
+/// Share of its weight that earlier data keeps at each new stream: about the last 300 streams count.
+const FIT_RETENTION: f64 = 0.997;
+/// Rounds of coordinate descent at each new stream, starting from the previous solution.
+const FIT_ROUNDS: usize = 20;
+/// Initial estimate of the time to read one token.
+const INITIAL_READ_COST_US: f64 = 80.0;
+/// Initial estimate of the time from a send to a writer to the first token.
+const INITIAL_FIRST_TOKEN_TIME_US: f64 = 100_000.0;
+/// Tokens added to each read for the cost that does not depend on its length.
+pub const READ_OVERHEAD_TOKENS: f64 = 300.0;
+/// Most weight of one read, relative to a read of mean length.
+const MAX_READ_WEIGHT: f64 = 3.0;
+/// Most weight of one read in a host's own mean, so that earlier samples still count.
+const MAX_READ_GAIN: f64 = 0.75;
+/// Decayed number of sends to a cold host below which its entry is dropped.
+const MIN_COLD_SENDS: f64 = 0.01;
+
+/// An exponentially decaying mean, which falls back towards a given base value with age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Fading {
-    /// Its value when it was last changed.
+pub struct DecayingMean {
+    /// The value at the last update.
     pub value: f64,
-    /// When that was.
-    pub at: Micros,
+    /// The time of the last update.
+    #[serde(rename = "at")]
+    pub updated_at: Micros,
 }
 
-impl Fading {
-    /// The mean now, faded towards this.
-    pub fn get(self, now: Micros, towards: f64) -> f64 {
-        towards + (self.value - towards) * 0.5f64.powf((now - self.at) as f64 / FADE)
+impl DecayingMean {
+    /// Returns the mean at `now`, decayed towards `towards`.
+    pub fn decayed(self, now: Micros, towards: f64) -> f64 {
+        towards + (self.value - towards) * 0.5f64.powf((now - self.updated_at) as f64 / HOST_HALF_LIFE_US)
     }
 
-    /// Takes a sample in, with this weight.
-    pub fn learn(&mut self, now: Micros, towards: f64, sample: f64, gain: f64) {
-        let old = self.get(now, towards);
-        *self = Fading { value: old + gain * (sample - old), at: now };
+    /// Adds a sample with the weight `gain`, after decay towards `towards`.
+    pub fn add_sample(&mut self, now: Micros, towards: f64, sample: f64, gain: f64) {
+        let old = self.decayed(now, towards);
+        *self = DecayingMean { value: old + gain * (sample - old), updated_at: now };
     }
 
-    /// A mean over all hosts follows as quickly where a router seldom hears of any as where it often does.
-    pub fn follow(&mut self, now: Micros, sample: f64) {
-        self.follow_by(now, sample, 1.0);
+    /// Adds a sample to a mean over all hosts. Its weight grows with the time since the last one, so that a router with
+    /// few samples follows as quickly as one with many.
+    pub fn add_fleet_sample(&mut self, now: Micros, sample: f64) {
+        self.add_weighted_fleet_sample(now, sample, 1.0);
     }
 
-    /// The same for a sample that weighs as much as so many.
-    pub fn follow_by(&mut self, now: Micros, sample: f64, weight: f64) {
-        let gain = (1.0 - 0.5f64.powf((now - self.at) as f64 / FLEET_FADE)).max(FLEET_GAIN);
+    /// Adds a sample to a mean over all hosts that counts as `weight` samples.
+    pub fn add_weighted_fleet_sample(&mut self, now: Micros, sample: f64, weight: f64) {
+        let gain =
+            (1.0 - 0.5f64.powf((now - self.updated_at) as f64 / FLEET_HALF_LIFE_US)).max(MIN_FLEET_GAIN);
         let gain = 1.0 - (1.0 - gain).powf(weight);
-        *self = Fading { value: self.value + gain * (sample - self.value), at: now };
+        *self = DecayingMean { value: self.value + gain * (sample - self.value), updated_at: now };
     }
 
-    /// Counts an event: the value, over [`FADE`], is then their rate.
-    pub fn count(&mut self, now: Micros) {
-        self.add(now, 1.0);
+    /// Counts one event. The value divided by [`HOST_HALF_LIFE_US`] is the rate of events.
+    pub fn count_event(&mut self, now: Micros) {
+        self.count_events(now, 1.0);
     }
 
-    /// Counts so many at once.
-    pub fn add(&mut self, now: Micros, many: f64) {
-        *self = Fading { value: self.get(now, 0.0) + many * std::f64::consts::LN_2, at: now };
+    /// Counts several events at once.
+    pub fn count_events(&mut self, now: Micros, number: f64) {
+        *self =
+            DecayingMean { value: self.decayed(now, 0.0) + number * std::f64::consts::LN_2, updated_at: now };
     }
 }
 
-/// The hash of a name, the same everywhere.
-pub fn key(name: &str) -> u64 {
+/// Returns the hash of a name, the same in every process.
+pub fn name_hash(name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), 0)
 }
 
-/// A number below one, the same for the same host and key at every router.
-pub fn chance(host: u32, key: u64) -> f64 {
+/// Returns a hash of host and key in the range from 0 up to but not including 1, the same at every router.
+pub fn unit_hash(host: u32, key: u64) -> f64 {
     (xxh3_64_with_seed(&u64::from(host).to_le_bytes(), key) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// The largest of these is each host with a chance in proportion to its weight.
-pub fn weighted(host: u32, key: u64, weight: f64) -> f64 {
-    -weight / chance(host, key).ln().min(-1e-12)
+/// Returns the score of a host in weighted rendezvous hashing: a host has the highest score with a probability in
+/// proportion to its weight.
+pub fn rendezvous_score(host: u32, key: u64, weight: f64) -> f64 {
+    -weight / unit_hash(host, key).ln().min(-1e-12)
 }
 
-/// The Universal Scalability Law inverted, pace = a + b(L-1) + c L(L-1): decayed least squares for one kind of host.
+/// The speed curve of one kind of host: the inverted Universal Scalability Law, time per token = a + b(L-1) + c L(L-1)
+/// at L streams, fitted by least squares with exponential decay.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Curve {
-    xx: [[f64; 3]; 3],
-    xy: [f64; 3],
-    seen: f64,
-    fit: [f64; 3],
+pub struct SpeedCurve {
+    #[serde(rename = "xx")]
+    normal_matrix: [[f64; 3]; 3],
+    #[serde(rename = "xy")]
+    normal_vector: [f64; 3],
+    #[serde(rename = "seen")]
+    stream_count: f64,
+    #[serde(rename = "fit")]
+    coefficients: [f64; 3],
 }
 
 fn basis(load: f64) -> [f64; 3] {
@@ -107,65 +115,77 @@
     [1.0, load - 1.0, load * (load - 1.0)]
 }
 
-impl Curve {
-    /// A stream of so many tokens ended, written in this time at this load.
-    pub fn learn(&mut self, load: f64, tokens: f64, took: f64) {
+impl SpeedCurve {
+    /// Adds a stream of `tokens` tokens that was written in `elapsed` microseconds at `load` concurrent streams.
+    pub fn add_stream(&mut self, load: f64, tokens: f64, elapsed: f64) {
         let x = basis(load);
         for (i, xi) in x.iter().enumerate() {
             for (j, xj) in x.iter().enumerate() {
-                self.xx[i][j] = self.xx[i][j] * FIT_KEEP + tokens * xi * xj;
+                self.normal_matrix[i][j] = self.normal_matrix[i][j] * FIT_RETENTION + tokens * xi * xj;
             }
-            self.xy[i] = self.xy[i] * FIT_KEEP + took * xi;
+            self.normal_vector[i] = self.normal_vector[i] * FIT_RETENTION + elapsed * xi;
         }
-        self.seen += 1.0;
-        self.solve();
+        self.stream_count += 1.0;
+        self.fit();
     }
 
-    /// Least squares with each coefficient at or above zero, by going down along each in turn.
-    fn solve(&mut self) {
-        for i in (0..3).cycle().take(3 * FIT_STEPS) {
-            let rest: f64 = (0..3).filter(|&j| j != i).map(|j| self.xx[i][j] * self.fit[j]).sum();
-            self.fit[i] = ((self.xy[i] - rest) / self.xx[i][i].max(1e-9)).max(0.0);
+    /// Solves the least squares problem with non-negative coefficients by coordinate descent.
+    fn fit(&mut self) {
+        for i in (0..3).cycle().take(3 * FIT_ROUNDS) {
+            let rest: f64 =
+                (0..3).filter(|&j| j != i).map(|j| self.normal_matrix[i][j] * self.coefficients[j]).sum();
+            self.coefficients[i] =
+                ((self.normal_vector[i] - rest) / self.normal_matrix[i][i].max(1e-9)).max(0.0);
         }
     }
 
-    /// Streams that it has seen.
-    pub fn seen(&self) -> f64 {
-        self.seen
+    /// Returns the number of streams added.
+    pub fn stream_count(&self) -> f64 {
+        self.stream_count
     }
 
-    /// Whether streams can have made it: finite, with no sum below zero.
-    pub fn credible(&self) -> bool {
-        let all = self.xx.iter().flatten().chain(&self.xy).chain(&self.fit).chain([&self.seen]);
-        all.into_iter().all(|sum| (0.0..1e18).contains(sum))
+    /// Returns whether the data can stem from streams: each sum is finite and none is negative.
+    pub fn is_credible(&self) -> bool {
+        let values = self
+            .normal_matrix
+            .iter()
+            .flatten()
+            .chain(&self.normal_vector)
+            .chain(&self.coefficients)
+            .chain([&self.stream_count]);
+        values.into_iter().all(|value| (0.0..1e18).contains(value))
     }
 
-    /// Microseconds a token at this load; none till enough streams have ended.
-    pub fn pace(&self, load: f64) -> f64 {
-        if self.seen < FIT_MIN { 0.0 } else { basis(load).iter().zip(self.fit).map(|(x, c)| x * c).sum() }
+    /// Returns the microseconds per token at this load, or 0 until [`MIN_FIT_STREAMS`] streams have ended.
+    pub fn time_per_token(&self, load: f64) -> f64 {
+        if self.stream_count < MIN_FIT_STREAMS {
+            0.0
+        } else {
+            basis(load).iter().zip(self.coefficients).map(|(x, c)| x * c).sum()
+        }
     }
 }
 
-/// Requests of which shares are reckoned: the last so many, or up to half as many.
-const SHARES_OF: f64 = 512.0;
-/// Requests unlike all others that are taken to have come before the first one: few say little.
-const SHARES_BEFORE: f64 = 7.0;
+/// Requests counted before all counts are halved: the shares cover the last 256 to 512 requests.
+const MAX_COUNTED_REQUESTS: f64 = 512.0;
+/// Requests without a known prefix that are assumed before the first one, so that few requests imply little.
+const PRIOR_REQUESTS: f64 = 7.0;
 
-/// How large a part of the requests begins with each text. It follows the requests, not the clock, so that a router that sees
-/// few knows the popular ones as well, only later.
+/// The share of requests that have each prompt prefix. Counts decay per request and not with time, so that a router with few
+/// requests learns the popular prefixes too, only later.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Shares {
+pub struct PrefixShares {
     counts: BTreeMap<u64, f64>,
-    all: f64,
+    request_count: f64,
 }
 
-impl Shares {
-    /// A request begins with this text.
-    pub fn count(&mut self, text: u64) {
-        *self.counts.entry(text).or_default() += 1.0;
-        self.all += 1.0;
-        if self.all >= SHARES_OF {
-            self.all /= 2.0;
+impl PrefixShares {
+    /// Counts a request with this prefix.
+    pub fn count(&mut self, prefix: u64) {
+        *self.counts.entry(prefix).or_default() += 1.0;
+        self.request_count += 1.0;
+        if self.request_count >= MAX_COUNTED_REQUESTS {
+            self.request_count /= 2.0;
             self.counts.retain(|_, count| {
                 *count /= 2.0;
                 *count >= 1.0
@@ -173,158 +193,174 @@
         }
     }
 
-    /// The part of all requests that begins with this text, as the next one would make it: few requests leave room for it to
-    /// be more popular than they show.
-    pub fn of(&self, text: u64) -> f64 {
-        (self.counts.get(&text).copied().unwrap_or(0.0) + 1.0) / (self.all + 1.0 + SHARES_BEFORE)
+    /// Returns the estimated share of requests with this prefix, counted as if the next request had it too: a prefix may be
+    /// more popular than few requests show.
+    pub fn share_of(&self, prefix: u64) -> f64 {
+        (self.counts.get(&prefix).copied().unwrap_or(0.0) + 1.0) / (self.request_count + 1.0 + PRIOR_REQUESTS)
     }
 }
 
-/// What one router, or all others together, have spent lately. All of it fades to nothing.
+/// Recent spending of one router, or of all others together. Each figure decays to zero.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Spending {
-    /// Requests taken in.
-    pub arrived: Fading,
-    /// Repeated attempts begun.
-    pub retried: Fading,
+    /// Accepted requests.
+    pub arrived: DecayingMean,
+    /// Repeated attempts.
+    pub retried: DecayingMean,
     /// Sends to readers.
-    pub reads: Fading,
+    pub reads: DecayingMean,
     /// Sends to writers.
-    pub writes: Fading,
+    pub writes: DecayingMean,
     /// Tokens of each tenant's requests.
-    pub tenants: BTreeMap<usize, Fading>,
-    /// Sends to each host that was cold then.
-    pub cold: BTreeMap<u32, Fading>,
+    pub tenants: BTreeMap<usize, DecayingMean>,
+    /// Sends to each host that was cold at the time.
+    pub cold: BTreeMap<u32, DecayingMean>,
 }
 
 impl Spending {
-    /// The sum of what several have spent, as it stands now.
-    pub fn sum<'a>(now: Micros, all: impl IntoIterator<Item = &'a Spending>) -> Self {
+    /// Returns the sum of several routers' spending, decayed to `now`.
+    pub fn sum<'a>(now: Micros, parts: impl IntoIterator<Item = &'a Spending>) -> Self {
         let mut sum = Spending::default();
-        let add = |to: &mut Fading, from: Fading| {
-            *to = Fading { value: to.get(now, 0.0) + from.get(now, 0.0), at: now };
+        let add = |to: &mut DecayingMean, from: DecayingMean| {
+            *to = DecayingMean { value: to.decayed(now, 0.0) + from.decayed(now, 0.0), updated_at: now };
         };
-        for one in all {
-            add(&mut sum.arrived, one.arrived);
-            add(&mut sum.retried, one.retried);
-            add(&mut sum.reads, one.reads);
-            add(&mut sum.writes, one.writes);
-            one.tenants.iter().for_each(|(at, from)| add(sum.tenants.entry(*at).or_default(), *from));
-            one.cold.iter().for_each(|(at, from)| add(sum.cold.entry(*at).or_default(), *from));
+        for part in parts {
+            add(&mut sum.arrived, part.arrived);
+            add(&mut sum.retried, part.retried);
+            add(&mut sum.reads, part.reads);
+            add(&mut sum.writes, part.writes);
+            part.tenants.iter().for_each(|(at, from)| add(sum.tenants.entry(*at).or_default(), *from));
+            part.cold.iter().for_each(|(at, from)| add(sum.cold.entry(*at).or_default(), *from));
         }
         sum
     }
 
-    /// A request of so many tokens is taken in.
-    pub fn take_in(&mut self, now: Micros, tenant: Option<usize>, tokens: f64) {
-        self.arrived.count(now);
+    /// Counts an accepted request of `tokens` tokens.
+    pub fn record_request(&mut self, now: Micros, tenant: Option<usize>, tokens: f64) {
+        self.arrived.count_event(now);
         if let Some(tenant) = tenant {
-            self.tenants.entry(tenant).or_default().add(now, tokens);
+            self.tenants.entry(tenant).or_default().count_events(now, tokens);
         }
     }
 
-    /// A cold host is sent something.
-    pub fn send_cold(&mut self, now: Micros, host: u32) {
-        self.cold.retain(|_, sent| sent.get(now, 0.0) > LEAST);
-        self.cold.entry(host).or_default().count(now);
+    /// Counts a send to a cold host.
+    pub fn record_cold_send(&mut self, now: Micros, host: u32) {
+        self.cold.retain(|_, sent| sent.decayed(now, 0.0) > MIN_COLD_SENDS);
+        self.cold.entry(host).or_default().count_event(now);
     }
 
-    /// What a tenant has had.
-    pub fn tenant(&self, now: Micros, tenant: usize) -> f64 {
-        self.tenants.get(&tenant).map_or(0.0, |had| had.get(now, 0.0))
+    /// Returns the decayed number of tokens of a tenant's requests.
+    pub fn tenant_tokens(&self, now: Micros, tenant: usize) -> f64 {
+        self.tenants.get(&tenant).map_or(0.0, |tokens| tokens.decayed(now, 0.0))
     }
 
-    /// What was sent to a cold host.
-    pub fn sent_cold(&self, now: Micros, host: u32) -> f64 {
-        self.cold.get(&host).map_or(0.0, |sent| sent.get(now, 0.0))
+    /// Returns the decayed number of sends to a cold host.
+    pub fn cold_sends(&self, now: Micros, host: u32) -> f64 {
+        self.cold.get(&host).map_or(0.0, |sent| sent.decayed(now, 0.0))
     }
 }
 
-/// What is learnt of the fleet as a whole: worth handing on to a router that takes this one's place.
+/// Estimates over the whole fleet, which are handed over to the router that takes this one's place.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Learnt {
+pub struct FleetEstimates {
     /// The speed curve of each kind of host.
-    pub curves: Vec<Curve>,
+    pub curves: Vec<SpeedCurve>,
     /// Microseconds to read one token.
-    pub read_cost: Fading,
+    pub read_cost: DecayingMean,
     /// Microseconds from a send to a writer to the first token.
-    pub first_took: Fading,
-    /// Mean tokens of a request, prompt and answer.
-    pub footprint: f64,
-    /// Mean share of a writer's memory that others hold.
-    pub others: f64,
-    /// Mean share of a prompt that is kept at its home.
-    pub kept_share: f64,
-    /// Mean requests that others hold at a reader.
-    pub crowd: f64,
-    /// Mean tokens that were left to be read.
-    pub unread: Fading,
-    /// Microseconds between the fleet's sends of the low tier.
-    pub low_gap: f64,
-    /// Own sends to readers.
-    pub reads: Fading,
-    /// Own sends to writers.
-    pub writes: Fading,
-    /// What else was spent; it fades too soon to be handed on.
+    #[serde(rename = "first_took")]
+    pub first_token_time: DecayingMean,
+    /// Mean tokens of a request, prompt and answer together.
+    #[serde(rename = "footprint")]
+    pub mean_request_tokens: f64,
+    /// Mean share of a writer's memory that other routers' requests hold.
+    #[serde(rename = "others")]
+    pub other_memory_share: f64,
+    /// Mean share of a prompt that is cached at its home reader.
+    #[serde(rename = "kept_share")]
+    pub cached_prompt_share: f64,
+    /// Mean number of requests that other routers have at a reader.
+    #[serde(rename = "crowd")]
+    pub other_requests_per_reader: f64,
+    /// Mean tokens of a prompt that were not cached and had to be read.
+    #[serde(rename = "unread")]
+    pub uncached_tokens: DecayingMean,
+    /// Microseconds between this router's sends of the low tier.
+    #[serde(rename = "low_gap")]
+    pub low_tier_interval: f64,
+    /// This router's sends to readers.
+    pub reads: DecayingMean,
+    /// This router's sends to writers.
+    pub writes: DecayingMean,
+    /// Other recent spending; it decays too quickly to be handed over.
     #[serde(skip)]
     pub spent: Spending,
-    /// How popular each shared beginning is.
-    #[serde(skip)]
-    pub beginnings: Shares,
+    /// How popular each shared prompt prefix is.
+    #[serde(skip, rename = "beginnings")]
+    pub prefix_shares: PrefixShares,
 }
 
-impl Learnt {
-    /// Takes over what another has learnt, where that is more.
+impl FleetEstimates {
+    /// Adopts the estimates of another router where they rest on more data.
     pub fn adopt(
-        &mut self, now: Micros, curves: &[Curve], [read_cost, first_took, footprint, kept_share]: [f64; 4],
+        &mut self, now: Micros, curves: &[SpeedCurve],
+        [read_cost, first_token_time, mean_request_tokens, cached_prompt_share]: [f64; 4],
     ) {
-        let more = |mine: &Curve, theirs: &Curve| theirs.seen > mine.seen;
+        let has_more_data = |mine: &SpeedCurve, theirs: &SpeedCurve| theirs.stream_count > mine.stream_count;
         if curves.len() == self.curves.len() {
-            self.curves.iter_mut().zip(curves).filter(|(mine, theirs)| more(mine, theirs)).for_each(
+            self.curves.iter_mut().zip(curves).filter(|(mine, theirs)| has_more_data(mine, theirs)).for_each(
                 |(mine, theirs)| {
                     *mine = theirs.clone();
                 },
             );
         }
-        if self.footprint <= 0.0 && footprint > 0.0 {
-            (self.footprint, self.kept_share) = (footprint, kept_share.clamp(0.0, 1.0));
-            self.read_cost = Fading { value: read_cost, at: now };
-            self.first_took = Fading { value: first_took, at: now };
+        if self.mean_request_tokens <= 0.0 && mean_request_tokens > 0.0 {
+            (self.mean_request_tokens, self.cached_prompt_share) =
+                (mean_request_tokens, cached_prompt_share.clamp(0.0, 1.0));
+            self.read_cost = DecayingMean { value: read_cost, updated_at: now };
+            self.first_token_time = DecayingMean { value: first_token_time, updated_at: now };
         }
     }
 
-    /// A read of so many `unread` tokens took this long behind others, `load` tokens in all. Where the reader `told` of others
-    /// a read counts by its tokens: of short ones that stood in a queue, the time says little of what a token costs. `cost` is
-    /// the host's own, which turns to a usual sample with this gain.
-    pub fn read(
-        &mut self, now: Micros, cost: &mut Fading, (unread, load, took, gain): (f64, f64, Micros, f64),
-        told: bool,
+    /// Records a read of `uncached_tokens` tokens that took `elapsed` behind others, with `queued_tokens` tokens to read in
+    /// all. Where the reader reports the requests of others (`has_load_report`), a read counts by its tokens, because the
+    /// time of a short read that stood in a queue says little about the cost of a token. `cost` is the host's own mean,
+    /// which takes a sample of mean length in with the weight `gain`.
+    pub fn record_read(
+        &mut self, now: Micros, cost: &mut DecayingMean,
+        (uncached_tokens, queued_tokens, elapsed, gain): (f64, f64, Micros, f64), has_load_report: bool,
     ) {
-        self.unread.follow(now, unread);
-        let usual = self.unread.value + READ_EXTRA;
-        let (each, weight) = (took as f64 / load, if told { (load / usual).min(WEIGHT_MOST) } else { 1.0 });
-        cost.learn(now, self.read_cost.value, each, (gain * weight).min(GAIN_MOST));
-        self.read_cost.follow_by(now, each, weight);
+        self.uncached_tokens.add_fleet_sample(now, uncached_tokens);
+        let usual_tokens = self.uncached_tokens.value + READ_OVERHEAD_TOKENS;
+        let (token_cost, weight) = (
+            elapsed as f64 / queued_tokens,
+            if has_load_report { (queued_tokens / usual_tokens).min(MAX_READ_WEIGHT) } else { 1.0 },
+        );
+        cost.add_sample(now, self.read_cost.value, token_cost, (gain * weight).min(MAX_READ_GAIN));
+        self.read_cost.add_weighted_fleet_sample(now, token_cost, weight);
     }
 
-    /// A request of so many tokens is taken in.
-    pub fn arrived(&mut self, now: Micros, ask: &NewRequest, tokens: f64) {
-        self.spent.take_in(now, ask.tenant.map(|t| t.0), tokens);
-        ask.prefix.iter().for_each(|text| self.beginnings.count(text.0));
+    /// Counts an accepted request of `tokens` tokens.
+    pub fn record_arrival(&mut self, now: Micros, received: &NewRequest, tokens: f64) {
+        self.spent.record_request(now, received.tenant.map(|tenant| tenant.0), tokens);
+        received.prefix.iter().for_each(|prefix| self.prefix_shares.count(prefix.0));
     }
 
-    /// All that was spent lately, for other routers.
+    /// Returns this router's recent spending, for other routers.
     pub fn spending(&self) -> Spending {
         Spending { reads: self.reads, writes: self.writes, ..self.spent.clone() }
     }
 
-    /// Before anything is learnt of so many kinds of host.
+    /// Creates the initial estimates for a fleet with this many kinds of host.
     pub fn new(kinds: usize) -> Self {
-        Learnt {
-            curves: vec![Curve::default(); kinds],
-            read_cost: Fading { value: READ_COST, at: Micros::MIN / 2 },
-            first_took: Fading { value: FIRST_TOOK, at: Micros::MIN / 2 },
-            ..Learnt::default()
+        FleetEstimates {
+            curves: vec![SpeedCurve::default(); kinds],
+            read_cost: DecayingMean { value: INITIAL_READ_COST_US, updated_at: Micros::MIN / 2 },
+            first_token_time: DecayingMean {
+                value: INITIAL_FIRST_TOKEN_TIME_US,
+                updated_at: Micros::MIN / 2,
+            },
+            ..FleetEstimates::default()
         }
     }
 }
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -1,12 +1,13 @@
 //! Every decision of the router. The interface (settings, events, actions) is `src/api.rs`.
 //!
-//! The mechanism, after SABER's online phase. A request arrives into the high tier, kept by the time at which
-//! its first token is wanted. At each event, and each tick while any is held, one of the first few is drawn
-//! at random and tested: would the writer's speed curve at L+1 streams still keep its token pace and that of
-//! every stream there, has the writer memory for it, and can its first token come in time? If so the prompt
-//! goes to its reader, by hash of its beginning; else it waits unread. What cannot start in time drops to the
-//! low tier, sent untested while the high tier is empty and given up on, at once, when the client's deadline
-//! is out of reach. After the read the test is made again. The curve is fitted online for each kind of host.
+//! The mechanism follows SABER's online phase. A new request enters the high tier, ordered by the time at
+//! which its first token is due. At each event, and at each tick while requests wait, one of the first few
+//! requests is drawn at random and tested: with one more stream, does the writer's speed curve still keep
+//! the token pace of this request and of every stream there, does the writer have memory for it, and can the
+//! first token come in time? If so, the prompt is sent to its reader, chosen by rendezvous hashing of its
+//! prefix; otherwise it waits unread. A request that cannot start in time moves to the low tier, which is
+//! sent untested while the high tier is empty. A request is given up as soon as the client's deadline is out
+//! of reach. The test is repeated after the read. The curve is fitted online for each kind of host.
 
 mod admission;
 mod attempts;
@@ -22,15 +23,23 @@
 use std::rc::Rc;
 
 use crate::api::*;
-use crate::estimate::{FADE, FLEET_GAIN, Fading, Learnt, READ_EXTRA, Spending, chance, weighted};
+use crate::estimate::{
+    DecayingMean, FleetEstimates, HOST_HALF_LIFE_US, MIN_FLEET_GAIN, READ_OVERHEAD_TOKENS, Spending,
+    rendezvous_score, unit_hash,
+};
 
-// Times are in microseconds.
-const TICK: Micros = 5_000; // between looks at what is held: short against every aim
-const FEW_ROUTERS: u32 = 8; // up to which all writers are probed in turn; more ask hosts for each request
-const ASKED: usize = 3; // hosts asked for each step of a request...
-const ASK_WAIT: Micros = 25_000; // ...and the longest wait for their answers: some connections' making
-const ANSWER_MARGIN: Micros = 10_000; // before the deadline at which what is held is answered
-const FOLLOW_AGAIN: Micros = 1_000_000; // between tries to follow the list of hosts
+/// Time between admission passes while requests wait: short against every time-to-first-token target.
+const TICK_INTERVAL_US: Micros = 5_000;
+/// Most routers with which each polls all writers in turn; with more, each probes hosts per request.
+const MAX_POLLING_ROUTERS: u32 = 8;
+/// Most hosts probed for each step of a request.
+const MAX_PROBES_PER_STEP: usize = 3;
+/// Longest wait for a probe's reply: enough to make a few connections.
+const PROBE_REPLY_TIMEOUT_US: Micros = 25_000;
+/// Time before the deadline at which a waiting request gets its final answer.
+const ANSWER_MARGIN_US: Micros = 10_000;
+/// Least time between attempts to watch the list of hosts.
+const WATCH_RETRY_INTERVAL_US: Micros = 1_000_000;
 
 #[derive(Default)]
 struct Host {
@@ -39,34 +48,40 @@
     cell: CellId,
     kind: KindId,
     role: Role,
+    /// Memory in tokens; infinite when it is not known.
     memory: f64,
     phase: Phase,
     started: Option<Micros>,
-    fails: u32,
-    spoilt: u32,
+    failures: u32,
+    /// Answers in a row that could not be read.
+    unreadable_answers: u32,
     failed_at: Micros,
-    rest_until: Micros,
-    /// Until then only where no other host will do.
-    last_until: Micros,
+    backoff_until: Micros,
+    /// Until this time the host is chosen only when no other host fits.
+    last_resort_until: Micros,
     full_until: BTreeMap<(ClassId, Option<TenantId>), Micros>,
-    next_cold: Micros,
+    next_cold_send_at: Micros,
     probed_at: Micros,
-    asked: bool,
-    /// Requests that others hold there, from the reports.
-    crowd: Option<Fading>,
-    /// Attempts without a first answer, by the time they were sent.
+    is_probe_pending: bool,
+    /// Requests that other routers hold there, from the host's reports.
+    other_requests: Option<DecayingMean>,
+    /// Attempts without a first answer, with the time at which each was sent.
     pending: BTreeMap<RequestId, Micros>,
-    read_cost: Fading,
-    /// Share of its states that its cell's writers can take, and of its writing left to other cells.
-    stay: f64,
-    spare: f64,
-    kept: BTreeMap<TextKey, f64>,
+    read_cost: DecayingMean,
+    /// Share of the host's states that writers of its own cell can take.
+    stay_share: f64,
+    /// Share of the writing capacity of its cell that is left for readers of other cells.
+    spare_weight: f64,
+    /// Tokens of each prefix or session that this router knows to be cached there.
+    cached_texts: BTreeMap<TextKey, f64>,
+    /// Own requests assigned to this writer.
     streams: BTreeSet<RequestId>,
-    first_took: Fading,
-    /// Tokens that others hold, from the reports.
-    others: Option<Fading>,
+    first_token_time: DecayingMean,
+    /// Tokens that other routers hold there, from the host's reports.
+    other_tokens: Option<DecayingMean>,
 }
 
+/// Where a request stands; `Ready` means that its prompt is read and its state waits at the reader.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum Stage {
     #[default]
@@ -80,142 +95,168 @@
 
 #[derive(Default)]
 struct Request {
-    ask: NewRequest,
-    by: Rc<Settings>, // whatever others come meanwhile
-    aim_at: Micros,
+    spec: NewRequest,
+    /// The settings in force when the request arrived; later changes do not affect it.
+    settings: Rc<Settings>,
+    /// Time by which the first token earns full worth.
+    first_token_due: Micros,
     deadline: Micros,
-    /// Guessed answer length, the same with its prompt, and the wanted pace.
-    tokens: f64,
-    footprint: f64,
+    /// Expected length of the answer.
+    answer_tokens: f64,
+    /// Tokens of the prompt and of the expected answer.
+    total_tokens: f64,
+    /// Wanted mean time between tokens, in microseconds.
     token_aim: f64,
     stage: Stage,
-    sent: u32,
-    /// The reader at which other routers would read it too.
+    attempts_sent: u32,
+    /// The reader at which other routers would have the prompt read too.
     home: Option<HostId>,
     reader: Option<HostId>,
     writer: Option<HostId>,
-    unread: f64,
-    /// Tokens to read at its reader when it was sent, its own among them.
-    read_load: f64,
-    from_low: bool,
+    /// Prompt tokens expected not to be cached where the prompt is read.
+    uncached_tokens: f64,
+    /// Tokens queued at the reader when the request was sent, its own among them.
+    queued_tokens: f64,
+    is_low_tier: bool,
     ready_since: Micros,
-
+    /// Where and since when an attempt may have run.
     may_have_run: Option<(HostId, Micros)>,
-    ended: bool, // for the client; only an outcome is still awaited
-    begun: Micros,
+    /// The client has left; only the outcome of the attempt is still awaited.
+    has_client_left: bool,
+    /// When the last attempt was sent or its stream began.
+    began_at: Micros,
 }
 
 /// One router's decisions.
 #[derive(Default)]
 pub struct Router {
-    set: Rc<Settings>,
-    /// What is known of all hosts; a new router of the same settings may be given an older one's.
-    pub all: Learnt,
-    /// What all others have spent, where they tell one another.
-    others: Option<Rc<Spending>>,
+    settings: Rc<Settings>,
+    /// Estimates over all hosts; a new router with the same settings may be given an older one's.
+    pub fleet: FleetEstimates,
+    /// What all other routers have spent, where routers exchange it.
+    peer_spending: Option<Rc<Spending>>,
     hosts: BTreeMap<HostId, Host>,
     requests: BTreeMap<RequestId, Request>,
     high: BTreeSet<(Micros, RequestId)>,
     low: BTreeSet<(Micros, RequestId)>,
-    low_next: Micros,
+    next_low_send_at: Micros,
     salt: u64,
-    /// When a request last had to wait, or an attempt was in vain.
-    pressed_at: Micros,
-    wake_at: Option<Micros>,
-    followed_at: Option<Micros>,
-    following: bool,
-    /// The list has changed since the cells were weighed.
-    cells_changed: bool,
-    /// Some that are gone still have work.
-    gone_with_work: bool,
-    /// Hosts looked at in walks over all of them.
-    looks: Cell<u64>,
-    /// By when each request must be answered, as the process ends.
+    /// When a request last had to wait, or an attempt timed out or was turned away as full.
+    last_pressure_at: Micros,
+    timer_due_at: Option<Micros>,
+    watch_requested_at: Option<Micros>,
+    is_watching: bool,
+    /// The list has changed since the cell weights were computed.
+    are_cell_weights_stale: bool,
+    /// Some hosts that are gone still have unfinished attempts.
+    has_gone_hosts_with_work: bool,
+    /// Hosts visited in iterations over all of them.
+    hosts_examined: Cell<u64>,
+    /// Time by which each request must be answered during shutdown.
     answers_until: Option<Micros>,
 }
 
 impl Router {
     /// A router that knows no host yet.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let all = Learnt::new(settings.kinds.len());
-        Router { salt: seed, set: Rc::new(settings), all, ..Router::default() }
+        let fleet = FleetEstimates::new(settings.kinds.len());
+        Router { salt: seed, settings: Rc::new(settings), fleet, ..Router::default() }
     }
 
-    /// How many hosts it has looked at up to now, in walks over all of them: its work, where there are many.
-    pub fn hosts_looked_at(&self) -> u64 {
-        self.looks.get()
+    /// Hosts visited so far in iterations over all of them: a measure of work in a large fleet.
+    pub fn hosts_examined(&self) -> u64 {
+        self.hosts_examined.get()
     }
 
-    fn walk(&self) -> impl Iterator<Item = &Host> {
-        self.looks.set(self.looks.get() + self.hosts.len() as u64);
+    /// Iterates over all hosts and counts the visits.
+    fn examine_hosts(&self) -> impl Iterator<Item = &Host> {
+        self.hosts_examined.set(self.hosts_examined.get() + self.hosts.len() as u64);
         self.hosts.values()
     }
 
-    /// Takes in what happened and says what to do, in order.
+    /// Applies the events in order and appends the resulting actions in the order in which to carry them out.
     pub fn handle(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
         for event in events {
-            if !matches!(event, Event::Hosts { .. }) {
-                self.weigh_cells();
+            if !matches!(event, Event::HostList { .. }) {
+                self.update_cell_weights();
             }
-            self.take(now, event, out);
+            self.apply_event(now, event, out);
         }
-        self.weigh_cells();
-        self.withdraw_at_the_end(now, out);
-        self.follow(now, out);
-        self.send_ready(now, out);
-        self.sort_tiers(now, out);
+        self.update_cell_weights();
+        self.cancel_attempts_at_shutdown(now, out);
+        self.watch_hosts(now, out);
+        self.send_ready_states(now, out);
+        self.demote_or_expire(now, out);
         self.admit(now, out);
-        self.probe(now, out);
-        self.set_wake(now, out);
+        self.probe_writers(now, out);
+        self.set_timer(now, out);
     }
 
-    fn take(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
+    fn apply_event(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
         match event {
-            Event::Hosts { whole, members } => self.hosts_told(now, *whole, members),
-            Event::HostsFailed => self.following = false,
-            Event::Request(ask) => self.arrive(now, ask, out),
-            Event::Began { request, host, took, .. } => self.began(now, *request, *host, *took),
-            Event::Ended { request, host, outcome, last, kept, took, load, .. } => {
-                self.report(now, *host, load.as_ref());
-                self.ended(now, *request, *host, (*outcome, *last, *kept, *took), out);
+            Event::HostList { is_complete, members } => self.update_hosts(now, *is_complete, members),
+            Event::HostListFailed => self.is_watching = false,
+            Event::Request(received) => self.receive_request(now, received, out),
+            Event::FirstToken { request, host, elapsed, .. } => {
+                self.stream_started(now, *request, *host, *elapsed)
+            }
+            Event::AttemptEnded {
+                request, host, outcome, is_final, cached_tokens, elapsed, load, ..
+            } => {
+                self.record_load(now, *host, load.as_ref());
+                self.attempt_ended(
+                    now,
+                    *request,
+                    *host,
+                    (*outcome, *is_final, *cached_tokens, *elapsed),
+                    out,
+                );
             }
-            Event::Left(request) => self.left(*request, out),
-            Event::Probed { host, outcome, load } => {
-                self.hosts.entry(*host).and_modify(|h| h.asked = false);
+            Event::ClientLeft(request) => self.client_left(*request, out),
+            Event::ProbeEnded { host, outcome, load } => {
+                self.hosts.entry(*host).and_modify(|h| h.is_probe_pending = false);
                 if matches!(outcome, Outcome::Unreachable | Outcome::TimedOut) {
-                    self.come_last(now, *host);
+                    self.mark_last_resort(now, *host);
                 }
-                self.report(now, *host, load.as_ref());
+                self.record_load(now, *host, load.as_ref());
             }
-            Event::Shutdown { answers_until } => self.shut_down(*answers_until),
-            Event::MoveStreams if self.set.limits.resume && (2..=FEW_ROUTERS).contains(&self.set.routers) => {
+            Event::Shutdown { answers_until } => self.begin_shutdown(*answers_until),
+            Event::MoveStreams
+                if self.settings.limits.resume
+                    && (2..=MAX_POLLING_ROUTERS).contains(&self.settings.routers) =>
+            {
                 let streams = self.requests.iter().filter(|(_, r)| r.stage == Stage::Streaming);
-                out.extend(streams.map(|(&id, _)| Action::Move(id)));
+                out.extend(streams.map(|(&id, _)| Action::MoveStream(id)));
             }
-            Event::Place { .. } | Event::MoveStreams => {}
-            Event::Policy(settings) => self.set = settings.clone(),
-            Event::Others(others) => self.others = Some(others.clone()),
-            Event::Timer(_) => self.wake_at = None,
+            Event::ReservationAnswered { .. } | Event::MoveStreams => {}
+            Event::SettingsChanged(settings) => self.settings = settings.clone(),
+            Event::PeerSpending(spending) => self.peer_spending = Some(spending.clone()),
+            Event::TimerExpired(_) => self.timer_due_at = None,
         }
     }
 
-    fn follow(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let due = self.followed_at.is_none_or(|at| now >= at + FOLLOW_AGAIN);
-        if self.set.ask_for_list && !self.following && due {
-            out.push(Action::Follow);
-            (self.following, self.followed_at) = (true, Some(now));
+    fn watch_hosts(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let is_retry_due = self.watch_requested_at.is_none_or(|at| now >= at + WATCH_RETRY_INTERVAL_US);
+        if self.settings.ask_for_list && !self.is_watching && is_retry_due {
+            out.push(Action::WatchHosts);
+            (self.is_watching, self.watch_requested_at) = (true, Some(now));
         }
     }
 
-    /// One timer at a time: while anything is held, or the list must be asked for again.
-    fn set_wake(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let held = self.requests.values().any(|r| matches!(r.stage, Stage::High | Stage::Low | Stage::Ready));
-        let asking = self.set.ask_for_list && !self.following;
-        let closing = self.until_answers_are_due(now);
-        let after = if held { TICK } else { FOLLOW_AGAIN }.min(closing.unwrap_or(Micros::MAX));
-        if (held || asking || closing.is_some()) && self.wake_at.is_none_or(|at| at > now + after) {
-            self.wake_at = Some(now + after);
-            out.push(Action::Wake { token: 0, after });
+    /// Keeps at most one timer: while requests wait, the watch must be retried, or answers are due at
+    /// shutdown.
+    fn set_timer(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let has_waiting =
+            self.requests.values().any(|r| matches!(r.stage, Stage::High | Stage::Low | Stage::Ready));
+        let must_watch = self.settings.ask_for_list && !self.is_watching;
+        let until_due = self.time_until_answers_due(now);
+        let after = if has_waiting { TICK_INTERVAL_US } else { WATCH_RETRY_INTERVAL_US }
+            .min(until_due.unwrap_or(Micros::MAX));
+        if (has_waiting || must_watch || until_due.is_some())
+            && self.timer_due_at.is_none_or(|at| at > now + after)
+        {
+            self.timer_due_at = Some(now + after);
+            out.push(Action::SetTimer { token: 0, after });
         }
     }
 }
--- a/src/logic/pairing.rs
+++ b/src/logic/pairing.rs
@@ -1,180 +1,249 @@
-//! Pairing: which reader by hash of what is shared, which writer near it with room.
+//! Pairing: chooses a reader by rendezvous hashing of the shared prefix, and a writer near it with headroom.
 
 use super::*;
 
-const CHOICE: f64 = 4.0; // power of a writer's room in its chance to be chosen: most room mostly, but no herd
-const READERS_A_HOME: usize = 8; // readers for each home that a beginning has: it could outgrow one
-const POPULAR: f64 = 0.75; // of a fair part, to cold homes of popular beginnings: few requests tell late
-const CELL_SLACK: f64 = 1.15; // of a cell's part of the states that its writers take before others share them
-const STAY_LEAST: f64 = 0.5; // part of the reading that a reader without writers near gets, at least
-const SPARE_LEAST: f64 = 0.05; // weight of a writer whose cell has none to spare, against an idle one
-const FAR_WEIGHT: f64 = 0.25; // chance of a writer in another zone against one in the same: a crossing costs
-const READ_MARGIN: (f64, f64) = (0.8, 0.7); // of a read's expected time, and more behind unknown others
-const HOMES_TRIED: usize = 12; // of a prompt's homes: all of a fleet of up to 88 readers
-const READY_WAIT: f64 = 0.4; // share of the pin limit after which a state goes to a writer untested
+/// Exponent of a writer's headroom in its weight: prefers the most headroom without herding.
+const HEADROOM_EXPONENT: f64 = 4.0;
+/// Readers in the fleet per home of a prefix, because a popular prefix may exceed one reader.
+const READERS_PER_HOME: usize = 8;
+/// Share of its part that a cold home gets of a popular prefix: popularity is learnt late from few requests.
+const COLD_POPULAR_SHARE: f64 = 0.75;
+/// Factor on a cell's share of states that its writers take before other cells take some.
+const CELL_SLACK: f64 = 1.15;
+/// Least weight of a reader without writers in its cell.
+const MIN_STAY_SHARE: f64 = 0.5;
+/// Least weight of a writer for readers of other cells, when its cell has no capacity to spare.
+const MIN_SPARE_WEIGHT: f64 = 0.05;
+/// Weight of a writer in another zone relative to one in the same zone: a zone crossing is expensive.
+const OTHER_ZONE_WEIGHT: f64 = 0.25;
+/// Factor on a read's expected time, and what is added to it when the load of others is unknown.
+const READ_TIME_MARGINS: (f64, f64) = (0.8, 0.7);
+/// Most readers tried for a prompt: all homes in a fleet of up to 88 readers.
+const MAX_HOMES_TRIED: usize = 12;
+/// Share of the pin limit after which a state is sent to a writer without the test.
+const MAX_TESTED_WAIT_SHARE: f64 = 0.4;
 
-/// The weight of a host's zone under the policy that the request came with.
-fn zone_weight(r: &Request, host: &Host) -> f64 {
-    r.by.zone_weights.get(host.zone.0).copied().unwrap_or(1.0)
+/// Returns the weight of a host's zone under the settings in force when the request arrived.
+fn zone_weight(request: &Request, host: &Host) -> f64 {
+    request.settings.zone_weights.get(host.zone.0).copied().unwrap_or(1.0)
 }
 
 impl Router {
-    /// Reader and writer for a held request, if any pass.
-    pub(super) fn pair(&self, now: Micros, id: RequestId, tested: bool) -> Option<(Option<HostId>, HostId)> {
-        let r = self.requests.get(&id)?;
-        let may_read = r.sent + 2 <= r.by.limits.max_attempts;
-        let share = r.ask.prefix.map_or(0.0, |key| self.all.beginnings.of(key.0));
-        let part = (POPULAR / READERS_A_HOME as f64 / share.max(1e-9)).min(1.0);
-        let spared = |h: &Host| self.spared(now, h, r, part) || self.overbooked(now, h, r);
-        let takes = |h: &Host| h.takes(now, &r.ask, &self.set.rules) && !spared(h);
-        let homes = self.homes(now, r, |h| may_read && takes(h));
-        if homes.iter().take(ASKED).any(|h| h.asked && now < h.probed_at + ASK_WAIT) {
+    /// Returns a reader, if one is needed, and a writer for a waiting request; `None` if none pass.
+    pub(super) fn choose_pair(
+        &self, now: Micros, id: RequestId, is_tested: bool,
+    ) -> Option<(Option<HostId>, HostId)> {
+        let request = self.requests.get(&id)?;
+        let may_read = request.attempts_sent + 2 <= request.settings.limits.max_attempts;
+        let prefix_share = request.spec.prefix.map_or(0.0, |key| self.fleet.prefix_shares.share_of(key.0));
+        let cold_part = (COLD_POPULAR_SHARE / READERS_PER_HOME as f64 / prefix_share.max(1e-9)).min(1.0);
+        let is_skipped = |h: &Host| {
+            self.skips_cold_host(now, h, request, cold_part) || self.exceeds_cold_budget(now, h, request)
+        };
+        let accepts = |h: &Host| h.accepts(now, &request.spec, &self.settings.rules) && !is_skipped(h);
+        let homes = self.homes(now, request, |h| may_read && accepts(h));
+        if homes
+            .iter()
+            .take(MAX_PROBES_PER_STEP)
+            .any(|h| h.is_probe_pending && now < h.probed_at + PROBE_REPLY_TIMEOUT_US)
+        {
             return None;
         }
-        // Others read at as many readers as this router does, if few, and are half through on average.
-        let few = self.set.routers <= FEW_ROUTERS;
-        let others = if few { self.others_reading() } else { 0.0 };
-        let free = |h: &Host| few && self.reading(now, h) <= 0.0;
-        let blind = |h: &Host| if h.crowd.is_some() { 0.0 } else { READ_MARGIN.1 };
-        let margin = |h: &Host| READ_MARGIN.0 + blind(h) * if free(h) { others.min(1.0) } else { 1.0 };
-        let paired = homes.iter().take(HOMES_TRIED).find_map(|at| {
-            let ready_in = self.read_time(now, at, r) * margin(at);
-            let pick =
-                |far| self.choose_writer(now, r, Some(at), ready_in, tested, |h| far != (h.cell == at.cell));
-            let spills = chance(at.id.0, r.ask.id.0) > at.stay;
-            Some((Some(at.id), pick(spills).or_else(|| pick(!spills))?))
+        // Among few routers, the others are assumed to use as many readers as this one does, each half done.
+        let is_polling = self.settings.routers <= MAX_POLLING_ROUTERS;
+        let other_reads = if is_polling { self.other_reads_per_reader() } else { 0.0 };
+        let is_idle = |h: &Host| is_polling && self.queued_tokens_at(now, h) <= 0.0;
+        let unknown_load_margin =
+            |h: &Host| if h.other_requests.is_some() { 0.0 } else { READ_TIME_MARGINS.1 };
+        let margin = |h: &Host| {
+            READ_TIME_MARGINS.0 + unknown_load_margin(h) * if is_idle(h) { other_reads.min(1.0) } else { 1.0 }
+        };
+        let paired = homes.iter().take(MAX_HOMES_TRIED).find_map(|reader| {
+            let ready_in = self.expected_read_time(now, reader, request) * margin(reader);
+            let choose = |far| {
+                self.choose_writer(now, request, Some(reader), ready_in, is_tested, |h| {
+                    far != (h.cell == reader.cell)
+                })
+            };
+            let prefers_other_cell = unit_hash(reader.id.0, request.spec.id.0) > reader.stay_share;
+            Some((Some(reader.id), choose(prefers_other_cell).or_else(|| choose(!prefers_other_cell))?))
         });
-        // Last, as it slows all streams: a mixed host in time reads by itself, a writer for want of readers.
-        let in_time = |h: &Host| self.read_time(now, h, r) * margin(h) <= (r.aim_at - now) as f64;
-        let alone = self.walk().all(|h| h.role != Role::Read || h.phase != Phase::Serving);
-        let reads = |h: &Host| h.role == Role::Both || self.set.limits.writers_read && alone;
-        let fits = |h: &Host| reads(h) && (in_time(h) || alone && !tested);
-        paired.or_else(|| Some((None, self.choose_writer(now, r, None, 0.0, tested, fits)?)))
+        // Last, because it slows all streams there: a mixed host in time, or a writer where no reader serves.
+        let is_in_time = |h: &Host| {
+            self.expected_read_time(now, h, request) * margin(h) <= (request.first_token_due - now) as f64
+        };
+        let has_no_readers = self.examine_hosts().all(|h| h.role != Role::Read || h.phase != Phase::Serving);
+        let can_read = |h: &Host| h.role == Role::Both || self.settings.limits.writers_read && has_no_readers;
+        let fits = |h: &Host| can_read(h) && (is_in_time(h) || has_no_readers && !is_tested);
+        paired.or_else(|| Some((None, self.choose_writer(now, request, None, 0.0, is_tested, fits)?)))
     }
 
-    /// How many others read at each reader by now.
-    fn others_reading(&self) -> f64 {
-        let busy = self.walk().filter(|h| h.role == Role::Read && !h.pending.is_empty()).count();
-        f64::from(self.set.routers.max(1) - 1) * 0.5 * busy as f64 / self.serving(true)
+    /// Returns the estimated number of other routers' reads per reader.
+    fn other_reads_per_reader(&self) -> f64 {
+        let busy = self.examine_hosts().filter(|h| h.role == Role::Read && !h.pending.is_empty()).count();
+        f64::from(self.settings.routers.max(1) - 1) * 0.5 * busy as f64 / self.serving_hosts(true)
     }
 
-    /// Rendezvous hashing of the shared beginning (else the session) over the readers, alike at every router.
-    /// A beginning has several homes, lest it outgrow one reader, each session one of them, and a stand-by.
-    pub(super) fn homes(&self, now: Micros, r: &Request, of: impl Fn(&Host) -> bool) -> Vec<&Host> {
-        let session = r.ask.session.unwrap_or(TextKey(r.ask.id.0));
-        let key = r.ask.prefix.unwrap_or(session);
-        // Fewer begin where the cell has no writers to take them, as their states would crowd its link.
-        let weight = |h: &Host| (2.0 * h.stay).clamp(STAY_LEAST, 1.0) * zone_weight(r, h);
-        let place = |h: &Host, key: TextKey| weighted(h.id.0, key.0, weight(h));
-        let by_place = |a: &(f64, &Host), b: &(f64, &Host)| b.0.total_cmp(&a.0);
-        let mut readers: Vec<_> = self.walk().filter(|h| h.role == Role::Read && of(h)).collect();
-        let others = readers.iter().any(|h| !self.last(now, h));
-        readers.retain(|h| !others || !self.last(now, h));
+    /// Returns the readers for a prompt in order of preference, by weighted rendezvous hashing of its prefix,
+    /// or else of its session; every router finds the same order. A prefix has several home readers, because
+    /// one might not suffice: each session prefers one of them, and one more reader stands by.
+    pub(super) fn homes(
+        &self, now: Micros, request: &Request, eligible: impl Fn(&Host) -> bool,
+    ) -> Vec<&Host> {
+        let session = request.spec.session.unwrap_or(TextKey(request.spec.id.0));
+        let key = request.spec.prefix.unwrap_or(session);
+        // Readers in a cell with few writers get fewer prompts, because their states would fill its link.
+        let weight = |h: &Host| (2.0 * h.stay_share).clamp(MIN_STAY_SHARE, 1.0) * zone_weight(request, h);
+        let score = |h: &Host, key: TextKey| rendezvous_score(h.id.0, key.0, weight(h));
+        let by_score = |a: &(f64, &Host), b: &(f64, &Host)| b.0.total_cmp(&a.0);
+        let mut readers: Vec<_> =
+            self.examine_hosts().filter(|h| h.role == Role::Read && eligible(h)).collect();
+        let has_healthy = readers.iter().any(|h| !self.is_last_resort(now, h));
+        readers.retain(|h| !has_healthy || !self.is_last_resort(now, h));
         let zones = readers.iter().map(|h| h.zone).collect::<BTreeSet<_>>().len();
-        let spread = readers.len().div_ceil(READERS_A_HOME).max(zones);
-        let mut homes: Vec<_> = readers.into_iter().map(|h| (place(h, key), h)).collect();
-        if homes.len() > spread + 1 {
-            homes.select_nth_unstable_by(spread, by_place);
-            homes.truncate(spread + 1);
+        let max_homes = readers.len().div_ceil(READERS_PER_HOME).max(zones);
+        let mut homes: Vec<_> = readers.into_iter().map(|h| (score(h, key), h)).collect();
+        if homes.len() > max_homes + 1 {
+            homes.select_nth_unstable_by(max_homes, by_score);
+            homes.truncate(max_homes + 1);
         }
-        homes.sort_by(by_place);
-        let last = homes.len().min(spread);
-        homes[..last].iter_mut().for_each(|(at, h)| *at = place(h, session));
-        homes[..last].sort_by(by_place);
+        homes.sort_by(by_score);
+        let home_count = homes.len().min(max_homes);
+        homes[..home_count].iter_mut().for_each(|(h_score, h)| *h_score = score(h, session));
+        homes[..home_count].sort_by(by_score);
         homes.into_iter().map(|(_, h)| h).collect()
     }
 
-    /// A writer by chance, the more room the likelier, lest routers that know the same choose the same.
+    /// Chooses a writer at random, weighted by headroom, so that routers with the same information do not all
+    /// choose the same one.
     pub(super) fn choose_writer(
-        &self, now: Micros, r: &Request, reader: Option<&Host>, ready_in: f64, tested: bool,
+        &self, now: Micros, request: &Request, reader: Option<&Host>, ready_in: f64, is_tested: bool,
         wanted: impl Fn(&Host) -> bool,
     ) -> Option<HostId> {
-        let near = |h: &Host, from: &Host| if from.zone == h.zone { 1.0 } else { FAR_WEIGHT };
-        let place = |h: &Host, from: &Host| if from.cell == h.cell { 1.0 } else { h.spare * near(h, from) };
-        let takes = |h: &Host| h.takes(now, &r.ask, &self.set.rules) && self.may_run_at(now, r, h.id);
-        let once = r.by.classes[r.ask.class.0].effect == Effect::Unsafe;
-        let fits = |h: &&Host| h.role != Role::Read && takes(h) && wanted(h);
-        let drawn = |h: &Host| {
-            let left = self.headroom(now, r, h, ready_in, tested)?;
-            // Emptier than most is no better: reports are late, and what fails at once looks empty.
-            let most = if self.set.routers > FEW_ROUTERS { 1.0 - self.all.others } else { 1.0 };
-            let weight = left.min(most.max(SPARE_LEAST)).max(0.0).powf(CHOICE);
-            let weight = weight * zone_weight(r, h) * reader.map_or(1.0, |from| place(h, from));
-            let rank = if left > 0.0 { weighted(h.id.0, self.salt ^ r.ask.id.0, weight) } else { left };
-            Some((!(self.last(now, h) || once && self.idle_suspect(now, h)), rank, h.id))
+        let near = |h: &Host, from: &Host| if from.zone == h.zone { 1.0 } else { OTHER_ZONE_WEIGHT };
+        let score =
+            |h: &Host, from: &Host| if from.cell == h.cell { 1.0 } else { h.spare_weight * near(h, from) };
+        let accepts = |h: &Host| {
+            h.accepts(now, &request.spec, &self.settings.rules) && self.may_run_at(now, request, h.id)
+        };
+        let must_run_once = request.settings.classes[request.spec.class.0].effect == Effect::Unsafe;
+        let fits = |h: &&Host| h.role != Role::Read && accepts(h) && wanted(h);
+        let ranked_choice = |h: &Host| {
+            let headroom = self.headroom(now, request, h, ready_in, is_tested)?;
+            // More headroom than most writers have adds no weight: reports are late, and a failing writer
+            // looks empty.
+            let headroom_cap = if self.settings.routers > MAX_POLLING_ROUTERS {
+                1.0 - self.fleet.other_memory_share
+            } else {
+                1.0
+            };
+            let weight = headroom.min(headroom_cap.max(MIN_SPARE_WEIGHT)).max(0.0).powf(HEADROOM_EXPONENT);
+            let weight = weight * zone_weight(request, h) * reader.map_or(1.0, |from| score(h, from));
+            let rank = if headroom > 0.0 {
+                rendezvous_score(h.id.0, self.salt ^ request.spec.id.0, weight)
+            } else {
+                headroom
+            };
+            Some((
+                !(self.is_last_resort(now, h) || must_run_once && self.is_suspiciously_idle(now, h)),
+                rank,
+                h.id,
+            ))
         };
-        let all: f64 = self.walk().filter(fits).map(|h| h.warmth(now, &self.set.rules)).sum();
-        let spared = |h: &&Host| self.spared(now, h, r, 1.0 / all.max(1e-9)) || self.overbooked(now, h, r);
-        let ranked = self.walk().filter(|h| fits(h) && !spared(h)).filter_map(drawn);
+        let total_warmth: f64 =
+            self.examine_hosts().filter(fits).map(|h| h.warmth(now, &self.settings.rules)).sum();
+        let is_skipped = |h: &&Host| {
+            self.skips_cold_host(now, h, request, 1.0 / total_warmth.max(1e-9))
+                || self.exceeds_cold_budget(now, h, request)
+        };
+        let ranked = self.examine_hosts().filter(|h| fits(h) && !is_skipped(h)).filter_map(ranked_choice);
         ranked.max_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))).map(|best| best.2)
     }
 
-    /// Tokens of a prompt that this router knows to be kept at a host.
-    pub(super) fn known_at(host: &Host, r: &Request) -> f64 {
-        let kept = |key: Option<TextKey>, m| key.and_then(|k| host.kept.get(&k)).map_or(0.0, |n| n.min(m));
-        kept(r.ask.prefix, r.ask.prefix_tokens).max(kept(r.ask.session, r.ask.prompt_tokens))
+    /// Returns the prompt tokens that this router knows to be cached at a host.
+    pub(super) fn known_cached(host: &Host, request: &Request) -> f64 {
+        let cached = |key: Option<TextKey>, limit| {
+            key.and_then(|k| host.cached_texts.get(&k)).map_or(0.0, |tokens| tokens.min(limit))
+        };
+        cached(request.spec.prefix, request.spec.prefix_tokens)
+            .max(cached(request.spec.session, request.spec.prompt_tokens))
     }
 
-    /// Tokens left to read there: at its home a prompt has usually been begun by other routers' reads.
-    pub(super) fn unread_at(&self, host: &Host, r: &Request) -> f64 {
-        let usual = if r.home == Some(host.id) { self.all.kept_share * r.ask.prompt_tokens } else { 0.0 };
-        r.ask.prompt_tokens - Self::known_at(host, r).max(usual)
+    /// Returns the prompt tokens left to read at a host. At a prompt's home reader, the reads of other
+    /// routers have usually cached a part of it.
+    pub(super) fn uncached_tokens_at(&self, host: &Host, request: &Request) -> f64 {
+        let expected_cached = if request.home == Some(host.id) {
+            self.fleet.cached_prompt_share * request.spec.prompt_tokens
+        } else {
+            0.0
+        };
+        request.spec.prompt_tokens - Self::known_cached(host, request).max(expected_cached)
     }
 
-    /// Unread tokens of the own reads out, and of others' as far as the reader told of them.
-    pub(super) fn reading(&self, now: Micros, host: &Host) -> f64 {
-        let out = host.pending.keys().filter_map(|id| self.requests.get(id));
+    /// Returns the tokens queued at a reader: those of own reads in flight, and of other routers' as
+    /// reported.
+    pub(super) fn queued_tokens_at(&self, now: Micros, host: &Host) -> f64 {
+        let pending = host.pending.keys().filter_map(|id| self.requests.get(id));
         let reads = |r: &&Request| r.stage == Stage::Reading || r.reader.is_none();
-        let own: f64 = out.filter(reads).map(|r| r.unread + READ_EXTRA).sum();
-        own + host.crowd.map_or(0.0, |c| c.get(now, self.all.crowd)) * (self.all.unread.value + READ_EXTRA)
+        let own: f64 = pending.filter(reads).map(|r| r.uncached_tokens + READ_OVERHEAD_TOKENS).sum();
+        own + host.other_requests.map_or(0.0, |n| n.decayed(now, self.fleet.other_requests_per_reader))
+            * (self.fleet.uncached_tokens.value + READ_OVERHEAD_TOKENS)
     }
 
-    /// Time in which a reader would have read this prompt, after the own reads before it.
-    pub(super) fn read_time(&self, now: Micros, host: &Host, r: &Request) -> f64 {
-        let cost = host.read_cost.get(now, self.all.read_cost.value) / host.warmth(now, &self.set.rules);
-        ((self.reading(now, host) + self.unread_at(host, r) + READ_EXTRA) * cost)
+    /// Returns the expected time to read this prompt at a host, behind the reads queued there.
+    pub(super) fn expected_read_time(&self, now: Micros, host: &Host, request: &Request) -> f64 {
+        let cost =
+            host.read_cost.decayed(now, self.fleet.read_cost.value) / host.warmth(now, &self.settings.rules);
+        ((self.queued_tokens_at(now, host) + self.uncached_tokens_at(host, request) + READ_OVERHEAD_TOKENS)
+            * cost)
             .max(host.oldest_pending(now))
     }
 
-    /// Sends on the states that wait: to the admitted writer if it still passes, else to another.
-    pub(super) fn send_ready(&mut self, now: Micros, out: &mut Vec<Action>) {
+    /// Sends requests whose states wait to the admitted writer if it still passes the test, else to another.
+    pub(super) fn send_ready_states(&mut self, now: Micros, out: &mut Vec<Action>) {
         let ready = self.requests.iter().filter(|(_, r)| r.stage == Stage::Ready).map(|(&id, _)| id);
         for id in ready.collect::<Vec<_>>() {
-            let r = &self.requests[&id];
-            let held_for = (now - r.ready_since) as f64 / self.set.rules.pin_limit.max(1) as f64;
-            let late = held_for >= lease::RELEASE_SHARE || now >= r.deadline - ANSWER_MARGIN;
-            let spent = late || r.sent >= r.by.limits.max_attempts;
-            if let Some(writer) = self.writer_for_state(now, r, held_for).filter(|_| !spent) {
-                self.place(id, writer);
+            let request = &self.requests[&id];
+            let held_share = (now - request.ready_since) as f64 / self.settings.rules.pin_limit.max(1) as f64;
+            let is_late = held_share >= lease::RELEASE_SHARE || now >= request.deadline - ANSWER_MARGIN_US;
+            let is_out_of_time = is_late || request.attempts_sent >= request.settings.limits.max_attempts;
+            if let Some(writer) = self.writer_for_state(now, request, held_share).filter(|_| !is_out_of_time)
+            {
+                self.assign_writer(id, writer);
                 self.send_write(now, id, writer, out);
-            } else if spent {
-                // Guards the pin limit: nothing takes this state in time.
+            } else if is_out_of_time {
+                // No writer will fetch this state within the pin limit.
                 out.push(Action::Release(id));
-                self.hold(now, id);
+                self.enqueue(now, id);
             }
         }
     }
 
-    pub(super) fn writer_for_state(&self, now: Micros, r: &Request, held_for: f64) -> Option<HostId> {
-        let reader = r.reader.and_then(|id| self.hosts.get(&id));
-        let pick = |tested, far| {
+    /// Returns the writer for a state that waits: the admitted one if it still passes, else one of the same
+    /// cell, else any; after [`MAX_TESTED_WAIT_SHARE`] of the pin limit also one that does not pass.
+    pub(super) fn writer_for_state(&self, now: Micros, request: &Request, held_share: f64) -> Option<HostId> {
+        let reader = request.reader.and_then(|id| self.hosts.get(&id));
+        let choose = |is_tested, far| {
             let near = |h: &Host| far || reader.is_none_or(|reader| reader.cell == h.cell);
-            self.choose_writer(now, r, reader, 0.0, tested, near)
+            self.choose_writer(now, request, reader, 0.0, is_tested, near)
         };
-        let same = |h: &Host| h.streams.contains(&r.ask.id);
-        let admitted = self.choose_writer(now, r, reader, 0.0, true, same);
-        let any = |tested| pick(tested, false).or_else(|| pick(tested, true));
-        admitted.or_else(|| any(true)).or_else(|| if held_for < READY_WAIT { None } else { any(false) })
+        let is_admitted_writer = |h: &Host| h.streams.contains(&request.spec.id);
+        let admitted = self.choose_writer(now, request, reader, 0.0, true, is_admitted_writer);
+        let any = |is_tested| choose(is_tested, false).or_else(|| choose(is_tested, true));
+        admitted
+            .or_else(|| any(true))
+            .or_else(|| if held_share < MAX_TESTED_WAIT_SHARE { None } else { any(false) })
     }
 
-    /// What each cell's writers can take of its own readers' states and of others', from the list alone.
-    pub(super) fn weigh_cells(&mut self) {
-        if !std::mem::take(&mut self.cells_changed) {
+    /// Computes from the list alone which share of its readers' states each cell's writers can take, and how
+    /// much capacity they have to spare for other cells.
+    pub(super) fn update_cell_weights(&mut self) {
+        if !std::mem::take(&mut self.are_cell_weights_stale) {
             return;
         }
         let mut cells: BTreeMap<CellId, (f64, f64)> = BTreeMap::new();
         let (mut readers, mut writers) = (0.0, 0.0);
-        for h in self.walk().filter(|h| h.phase == Phase::Serving) {
+        for h in self.examine_hosts().filter(|h| h.phase == Phase::Serving) {
             let cell = cells.entry(h.cell).or_default();
             *(if h.role == Role::Read { &mut cell.0 } else { &mut cell.1 }) += 1.0;
             *(if h.role == Role::Read { &mut readers } else { &mut writers }) += 1.0;
@@ -182,7 +251,8 @@
         for h in self.hosts.values_mut() {
             let (near, at) = cells.get(&h.cell).copied().unwrap_or_default();
             let share = (at / f64::max(writers, 1.0)) / (near / f64::max(readers, 1.0)).max(1e-9);
-            (h.stay, h.spare) = (CELL_SLACK * share, (1.0 - 1.0 / share.max(1e-9)).max(SPARE_LEAST));
+            (h.stay_share, h.spare_weight) =
+                (CELL_SLACK * share, (1.0 - 1.0 / share.max(1e-9)).max(MIN_SPARE_WEIGHT));
         }
     }
 }
--- a/src/logic/shutdown.rs
+++ b/src/logic/shutdown.rs
@@ -1,52 +1,55 @@
-//! The end of the process: each request has its answer, or the beginning of its stream, by a moment
-//! before the process is killed.
+//! Decisions during shutdown: each request gets its answer, or the first token of its stream, before the
+//! process is killed.
 
 use super::*;
 
 impl Router {
-    /// Bounds the deadlines of all requests that wait, and of those that come from now on. An answer that
-    /// comes as a whole is as a stream that runs: it goes on while the process does.
-    pub(super) fn shut_down(&mut self, answers_until: Micros) {
+    /// Bounds the deadlines of all waiting requests and of those that arrive from now on. A request for an
+    /// answer in one piece is treated like a running stream: it continues while the process runs.
+    pub(super) fn begin_shutdown(&mut self, answers_until: Micros) {
         self.answers_until = Some(answers_until);
-        let waits = |r: &Request| r.stage != Stage::Streaming && !r.ask.whole;
-        let ids: Vec<_> = self.requests.iter().filter(|(_, r)| waits(r)).map(|(&id, _)| id).collect();
+        let is_bounded = |r: &Request| r.stage != Stage::Streaming && !r.spec.is_unary;
+        let ids: Vec<_> = self.requests.iter().filter(|(_, r)| is_bounded(r)).map(|(&id, _)| id).collect();
         for id in ids {
             self.bound_deadline(id, answers_until);
         }
     }
 
+    /// Lowers the deadline of a request to at most `deadline`, and updates its place in its tier.
     fn bound_deadline(&mut self, id: RequestId, deadline: Micros) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let before = (r.aim_at, id);
-        r.deadline = r.deadline.min(deadline);
-        r.aim_at = r.aim_at.min(deadline);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let old_key = (request.first_token_due, id);
+        request.deadline = request.deadline.min(deadline);
+        request.first_token_due = request.first_token_due.min(deadline);
         for tier in [&mut self.high, &mut self.low] {
-            if tier.remove(&before) {
-                tier.insert((r.aim_at, id));
+            if tier.remove(&old_key) {
+                tier.insert((request.first_token_due, id));
             }
         }
     }
 
-    /// Whether an attempt is out for a request that must be answered while the process lives.
-    fn attempted(r: &Request) -> bool {
-        matches!(r.stage, Stage::Reading | Stage::Writing) && !r.ended && !r.ask.whole
+    /// Returns whether an attempt is in flight for a request that must be answered before the process ends.
+    fn has_answerable_attempt(request: &Request) -> bool {
+        matches!(request.stage, Stage::Reading | Stage::Writing)
+            && !request.has_client_left
+            && !request.spec.is_unary
     }
 
-    /// How long until requests with an attempt out must be answered; none where there are none.
-    pub(super) fn until_answers_are_due(&self, now: Micros) -> Option<Micros> {
-        let left = self.answers_until? - now;
-        (left > 0 && self.requests.values().any(Self::attempted)).then_some(left)
+    /// Returns the time until requests with an attempt in flight must be answered; `None` if there are none.
+    pub(super) fn time_until_answers_due(&self, now: Micros) -> Option<Micros> {
+        let time_left = self.answers_until? - now;
+        (time_left > 0 && self.requests.values().any(Self::has_answerable_attempt)).then_some(time_left)
     }
 
-    /// Withdraws, once the time has come, the attempts that are out. Their ends bring the final answers: a
-    /// refusal promises that nothing runs any more, so none is given beside an attempt.
-    pub(super) fn withdraw_at_the_end(&mut self, now: Micros, out: &mut Vec<Action>) {
+    /// Cancels the attempts in flight once answers are due. The final answers follow when the attempts end: a
+    /// refusal promises that nothing runs any more, so it is not given while an attempt is in flight.
+    pub(super) fn cancel_attempts_at_shutdown(&mut self, now: Micros, out: &mut Vec<Action>) {
         if self.answers_until.is_some_and(|until| now >= until) {
-            let attempted = self.requests.iter().filter(|(_, r)| Self::attempted(r));
-            out.extend(
-                attempted
-                    .map(|(&id, r)| Action::Cancel { request: id, attempt: AttemptId(r.sent.max(1) - 1) }),
-            );
+            let with_attempt = self.requests.iter().filter(|(_, r)| Self::has_answerable_attempt(r));
+            out.extend(with_attempt.map(|(&id, r)| Action::Cancel {
+                request: id,
+                attempt: AttemptId(r.attempts_sent.max(1) - 1),
+            }));
         }
     }
 }
--- a/src/node/front/chat.rs
+++ b/src/node/front/chat.rs
@@ -295,7 +295,7 @@
         let completion: Completion = completion.map_err(|e| Fault::Invalid(e.to_string()))?;
         let mut ask = self.ask(&completion)?;
         let retries = request.headers().get(RETRY_COUNT).and_then(|v| v.to_str().ok()?.parse::<u32>().ok());
-        ask.again = retries.is_some_and(|n| n > 0);
+        ask.is_client_retry = retries.is_some_and(|n| n > 0);
         if self.intake.full() {
             return Err(self.shed());
         }
@@ -309,7 +309,7 @@
         let headers = HeaderMap::from_iter([(CONTENT_TYPE, HeaderValue::from_static("application/json"))]);
         #[cfg(feature = "cluster")]
         claimed.iter_mut().for_each(GrantedClaim::used);
-        let (streamed, payload) = (!ask.whole, Payload { id, target, headers, body });
+        let (streamed, payload) = (!ask.is_unary, Payload { id, target, headers, body });
         let answer = begin(&self.core, &self.shutdown, ask, (payload, permit), ()).await.answer;
         #[cfg(feature = "cluster")]
         if let Some(claim) = claimed {
@@ -377,9 +377,9 @@
             prefix: (completion.messages.len() > 1).then_some(TextKey(prefix)),
             prefix_tokens: if completion.messages.len() > 1 { tokens(opening) } else { 0.0 },
             prompt_tokens: tokens(completion.messages.iter().map(|m| m.measure(0).0).sum()),
-            most_tokens: f64::from(most),
+            max_output_tokens: f64::from(most),
             time_left: figures.deadline.saturating_add(writing),
-            whole,
+            is_unary: whole,
             ..NewRequest::default()
         })
     }
--- a/src/node/front/platform.rs
+++ b/src/node/front/platform.rs
@@ -262,11 +262,11 @@
     ))?;
     ask.session = text(headers, "Affinity-Key")?.map(|key| TextKey(xxh3_64(key.as_bytes())));
     ask.tenant = tenant(headers, names)?;
-    ask.stream_hint = work_hint(headers)?;
+    ask.expected_stream_time = work_hint(headers)?;
     match text(headers, "Client-Retry")? {
         None => {}
-        Some("again") => ask.resumed = true,
-        Some("1") => ask.again = true,
+        Some("again") => ask.is_resumed = true,
+        Some("1") => ask.is_client_retry = true,
         Some(_) => return Err(Malformed::Unfit("Client-Retry", "1 or again")),
     }
     Ok(ask)
@@ -303,7 +303,7 @@
             _ => {}
         }
     }
-    (ask.prompt_tokens, ask.most_tokens) = (prompt?, most?);
+    (ask.prompt_tokens, ask.max_output_tokens) = (prompt?, most?);
     (ask.prefix_tokens <= ask.prompt_tokens).then_some(())
 }
 
--- a/src/node/front/platform/tests.rs
+++ b/src/node/front/platform/tests.rs
@@ -47,11 +47,11 @@
 
 #[test]
 fn the_work_hint_is_microseconds_and_zero_is_none() {
-    let hint = |value| ask(&head(&[("work-hint", value)]), &names()).map(|ask| ask.stream_hint);
+    let hint = |value| ask(&head(&[("work-hint", value)]), &names()).map(|ask| ask.expected_stream_time);
     assert_eq!(hint("4200000").expect("a fit hint"), Some(4_200_000));
     assert_eq!(hint("1500.5").expect("a fit hint"), Some(1_500));
     assert_eq!(hint("0").expect("no guess"), None);
-    assert_eq!(ask(&head(&[]), &names()).expect("no hint").stream_hint, None);
+    assert_eq!(ask(&head(&[]), &names()).expect("no hint").expected_stream_time, None);
     for absurd in ["-1", "NaN", "inf", "1e300", "soon"] {
         assert!(matches!(hint(absurd), Err(Malformed::Unfit("Work-Hint", _))), "{absurd}");
     }
--- a/src/node/planner.rs
+++ b/src/node/planner.rs
@@ -9,7 +9,7 @@
 
 use super::{Clock, span};
 use crate::api::*;
-use crate::estimate::{Curve, Learnt, Spending};
+use crate::estimate::{FleetEstimates, SpeedCurve, Spending};
 use crate::logic::Router;
 
 /// What a planner wants of a request's task.
@@ -48,8 +48,8 @@
     Arrive(NewRequest, UnboundedSender<Order>),
     Tell(Event),
     Closed(RequestId),
-    Mark(oneshot::Sender<Learnt>),
-    Adopt(Vec<Curve>, [f64; 4]),
+    Mark(oneshot::Sender<FleetEstimates>),
+    Adopt(Vec<SpeedCurve>, [f64; 4]),
 }
 
 /// The forwarders' way to a planner.
@@ -62,13 +62,13 @@
 impl Planner {
     /// Starts a planner on the current local task set, with what one of the same settings has learnt before.
     pub fn start(
-        settings: Settings, seed: u64, clock: Clock, learnt: Option<Learnt>,
+        settings: Settings, seed: u64, clock: Clock, learnt: Option<FleetEstimates>,
     ) -> (Self, UnboundedReceiver<FleetOrder>) {
         let (inputs, inbox) = mpsc::unbounded_channel();
         let (fleet, fleet_orders) = mpsc::unbounded_channel();
         let mut router = Router::new(settings, seed);
         if let Some(learnt) = learnt {
-            router.all = learnt;
+            router.fleet = learnt;
         }
         let task = PlannerTask { router, clock, handles: HashMap::new(), inputs: inputs.clone(), fleet };
         tokio::task::spawn_local(task.run(inbox));
@@ -87,32 +87,32 @@
 
     /// Tells the list of hosts, whole or only its changes.
     pub fn hosts(&self, whole: bool, members: Vec<Member>) {
-        self.put(Input::Tell(Event::Hosts { whole, members }));
+        self.put(Input::Tell(Event::HostList { is_complete: whole, members }));
     }
 
     /// Tells that following the list broke off.
     pub fn hosts_failed(&self) {
-        self.put(Input::Tell(Event::HostsFailed));
+        self.put(Input::Tell(Event::HostListFailed));
     }
 
     /// Tells the settings by which requests are decided that are brought from now on.
     pub fn policy(&self, settings: Settings) {
-        self.put(Input::Tell(Event::Policy(Rc::new(settings))));
+        self.put(Input::Tell(Event::SettingsChanged(Rc::new(settings))));
     }
 
     /// Tells what all other conductors have spent lately.
     pub fn others(&self, spent: Spending) {
-        self.put(Input::Tell(Event::Others(Rc::new(spent))));
+        self.put(Input::Tell(Event::PeerSpending(Rc::new(spent))));
     }
 
     /// Hands over what another has learnt; it counts where this one knows less.
-    pub fn adopt(&self, curves: Vec<Curve>, means: [f64; 4]) {
+    pub fn adopt(&self, curves: Vec<SpeedCurve>, means: [f64; 4]) {
         self.put(Input::Adopt(curves, means));
     }
 
     /// Tells how a probe ended.
     pub fn probed(&self, host: HostId, outcome: Outcome, load: Option<Load>) {
-        self.put(Input::Tell(Event::Probed { host, outcome, load }));
+        self.put(Input::Tell(Event::ProbeEnded { host, outcome, load }));
     }
 
     /// Tells that the process has been told to end, and by when each request must be answered.
@@ -126,7 +126,7 @@
     }
 
     /// Waits until all that was told before is decided on, and gives what is known then of all hosts.
-    pub async fn settled(&self) -> Learnt {
+    pub async fn settled(&self) -> FleetEstimates {
         let (mark, reached) = oneshot::channel();
         self.put(Input::Mark(mark));
         reached.await.unwrap_or_default()
@@ -169,19 +169,28 @@
 
     /// Tells that an answer's first token is out.
     pub fn began(&self, attempt: AttemptId, host: HostId, took: Micros) {
-        self.planner.put(Input::Tell(Event::Began { request: self.id, attempt, host, took }));
+        self.planner.put(Input::Tell(Event::FirstToken { request: self.id, attempt, host, elapsed: took }));
     }
 
     /// Tells how an attempt ended; `last` when the request has its final answer.
     pub fn ended(&self, attempt: AttemptId, host: HostId, outcome: Outcome, last: bool, end: End) {
         let End { kept, took, load } = end;
-        let event = Event::Ended { request: self.id, attempt, host, outcome, last, kept, took, load };
+        let event = Event::AttemptEnded {
+            request: self.id,
+            attempt,
+            host,
+            outcome,
+            is_final: last,
+            cached_tokens: kept,
+            elapsed: took,
+            load,
+        };
         self.planner.put(Input::Tell(event));
     }
 
     /// Tells that the client left; [`Order::Parted`] follows.
     pub fn left(&self) {
-        self.planner.put(Input::Tell(Event::Left(self.id)));
+        self.planner.put(Input::Tell(Event::ClientLeft(self.id)));
     }
 }
 
@@ -220,8 +229,8 @@
                     }
                     Input::Tell(event) => {
                         match &event {
-                            Event::Left(id) => parted.push(*id),
-                            Event::Ended { host, outcome, .. } if lost(*outcome) => {
+                            Event::ClientLeft(id) => parted.push(*id),
+                            Event::AttemptEnded { host, outcome, .. } if lost(*outcome) => {
                                 let _ = self.fleet.send(FleetOrder::Failed(*host));
                             }
                             _ => {}
@@ -230,15 +239,15 @@
                     }
                     Input::Closed(id) => closed.push(id),
                     Input::Mark(mark) => marks.push(mark),
-                    Input::Adopt(curves, means) => self.router.all.adopt(self.clock.now(), &curves, means),
+                    Input::Adopt(curves, means) => self.router.fleet.adopt(self.clock.now(), &curves, means),
                 }
             }
             self.router.handle(self.clock.now(), &events, &mut actions);
             if tracing::enabled!(tracing::Level::DEBUG) {
                 // A whole record of what the module was told and said, by which a day can be followed.
-                let told = events.iter().filter(|e| !matches!(e, Event::Timer(_)));
+                let told = events.iter().filter(|e| !matches!(e, Event::TimerExpired(_)));
                 told.for_each(|event| tracing::debug!("told: {event:?}"));
-                let said = actions.iter().filter(|a| !matches!(a, Action::Wake { .. }));
+                let said = actions.iter().filter(|a| !matches!(a, Action::SetTimer { .. }));
                 said.for_each(|action| tracing::debug!("said: {action:?}"));
             }
             events.clear();
@@ -247,7 +256,7 @@
             }
             parted.into_iter().for_each(|id| self.order(id, Order::Parted));
             closed.iter().for_each(|id| drop(self.handles.remove(id)));
-            marks.into_iter().for_each(|mark| drop(mark.send(self.router.all.clone())));
+            marks.into_iter().for_each(|mark| drop(mark.send(self.router.fleet.clone())));
         }
     }
 
@@ -255,21 +264,21 @@
         match action {
             Action::Send { request, host, time_out } => self.order(request, Order::Send(host, time_out)),
             Action::Cancel { request, attempt } => self.order(request, Order::Cancel(attempt)),
-            Action::Refuse { request, come_back } => self.order(request, Order::Refuse(come_back)),
+            Action::Refuse { request, retry_after } => self.order(request, Order::Refuse(retry_after)),
             Action::Fail(request) => self.order(request, Order::Fail),
             Action::Release(request) => self.order(request, Order::Release),
-            Action::Move(request) => self.order(request, Order::Move),
+            Action::MoveStream(request) => self.order(request, Order::Move),
             Action::Probe(host) => drop(self.fleet.send(FleetOrder::Probe(host))),
-            Action::Close(host) => drop(self.fleet.send(FleetOrder::Close(host))),
-            Action::Wake { token, after } => {
+            Action::CloseIdleConnections(host) => drop(self.fleet.send(FleetOrder::Close(host))),
+            Action::SetTimer { token, after } => {
                 let inputs = self.inputs.clone();
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(span(after)).await;
-                    let _ = inputs.send(Input::Tell(Event::Timer(token)));
+                    let _ = inputs.send(Input::Tell(Event::TimerExpired(token)));
                 });
             }
             // The list is always followed, and no place can be held ahead on these protocols.
-            Action::List | Action::Follow | Action::Ahead { .. } => {}
+            Action::ListHosts | Action::WatchHosts | Action::ReserveWriter { .. } => {}
             Action::Suspect { host, failures } => drop(self.fleet.send(FleetOrder::Suspect(host, failures))),
             Action::Log(line) => tracing::info!("planner: {line}"),
         }
--- a/src/node/policy_gate.rs
+++ b/src/node/policy_gate.rs
@@ -138,6 +138,7 @@
         return ask.time_left;
     };
     let long = (2.0 * class.aim_per_1000 as f64 * ask.prompt_tokens / 1_000.0) as Micros;
-    let writing = if ask.whole { (ask.most_tokens * class.token_aim as f64 * 2.0) as Micros } else { 0 };
+    let writing =
+        if ask.is_unary { (ask.max_output_tokens * class.token_aim as f64 * 2.0) as Micros } else { 0 };
     ask.time_left.min(class.deadline.saturating_add(long).saturating_add(writing))
 }
--- a/src/node/process/handover.rs
+++ b/src/node/process/handover.rs
@@ -11,7 +11,7 @@
 
 use super::readiness::Happening;
 use crate::api::{Micros, Settings};
-use crate::estimate::Learnt;
+use crate::estimate::FleetEstimates;
 use crate::node::list::membership::Membership;
 
 /// Of what is told. Another version is another way of speaking; nothing is handed over between two of them.
@@ -63,7 +63,7 @@
     #[serde(default)]
     pub now: Option<Micros>,
     /// What the decision module knows of all hosts...
-    pub learnt: Learnt,
+    pub learnt: FleetEstimates,
     /// ...and under which settings, as [`digest`] tells them apart: under others it says nothing.
     pub settings: u64,
 }
--- a/src/node/process/shutdown.rs
+++ b/src/node/process/shutdown.rs
@@ -118,7 +118,8 @@
     pub fn takes(&self, ask: &NewRequest) -> bool {
         let Some(schedule) = self.schedule.get() else { return true };
         let now = Instant::now();
-        now < schedule.requests_until && (!ask.whole || now + span(ask.time_left) <= schedule.answers_until)
+        now < schedule.requests_until
+            && (!ask.is_unary || now + span(ask.time_left) <= schedule.answers_until)
     }
 
     /// Waits for a signal that ends the process, then until all that still arrives is finished. Further signals change nothing.
--- a/src/node/request.rs
+++ b/src/node/request.rs
@@ -204,7 +204,7 @@
     let deadline = Instant::now() + span(ask.time_left);
     let overdue = deadline + OVERDUE;
     let counters = core.counters.clone();
-    let whole = ask.whole;
+    let whole = ask.is_unary;
     let mut handle = core.planner.arrive(ask);
     tracing::debug!(request = %payload.id, number = handle.number(), "request: taken");
     let mut sent = 0;
--- a/src/node/upstream/lease_keeper.rs
+++ b/src/node/upstream/lease_keeper.rs
@@ -147,15 +147,15 @@
     async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Happening>) {
         let mut over = false;
         loop {
-            if self.lease.wanted_at().is_none() {
+            if self.lease.release_requested_at().is_none() {
                 for settled in self.waiting.drain(..) {
                     let _ = settled.send(());
                 }
             }
-            if over && self.lease.settled() {
+            if over && self.lease.is_settled() {
                 return;
             }
-            let due = self.lease.release_at();
+            let due = self.lease.next_release_at();
             if due.is_some_and(|at| at <= self.now()) {
                 self.release(&mut inbox, &mut over).await;
                 continue;
@@ -178,7 +178,7 @@
     async fn release(&mut self, inbox: &mut mpsc::UnboundedReceiver<Happening>, over: &mut bool) {
         let reason = std::mem::replace(&mut self.reason, ReleaseReason::Unanswered);
         let mut released = std::pin::pin!(release(self.upstream.clone(), self.id.clone(), reason));
-        let wanted = self.lease.wanted_at();
+        let wanted = self.lease.release_requested_at();
         let sent = loop {
             tokio::select! {
                 biased;
@@ -189,19 +189,19 @@
                 },
                 Some(_) = self.silent.join_next() => self.silence_ended(),
             }
-            if self.lease.wanted_at() > wanted {
+            if self.lease.release_requested_at() > wanted {
                 return;
             }
         };
         match sent {
-            Some(sent) => self.lease.released(micros(self.start, sent)),
-            None => self.lease.given_up(),
+            Some(sent) => self.lease.release_confirmed(micros(self.start, sent)),
+            None => self.lease.abandon(),
         }
     }
 
     fn silence_ended(&mut self) {
         tracing::debug!(request = %self.id, "state: a silent connection has ended");
-        self.lease.silence_ended(self.now());
+        self.lease.silent_connection_closed(self.now());
     }
 
     fn take(&mut self, happening: Happening) {
@@ -214,22 +214,22 @@
             Happening::WriteSent => self.lease.write_sent(),
             Happening::Ended(end) => {
                 tracing::debug!(request = %id, ?end, "state: an attempt ended");
-                self.lease.ended(now, end);
+                self.lease.attempt_ended(now, end);
                 let known = self.reading.take();
                 if end == AttemptEnd::Unknown {
                     self.reason = ReleaseReason::NoAnswer;
                     if let Some(known) = known {
-                        self.lease.fell_silent();
+                        self.lease.connection_fell_silent();
                         self.silent.spawn_local(async move { drop(timeout(SILENT_MOST, known).await) });
                     }
                 }
             }
             Happening::StreamBegan => {
                 tracing::debug!(request = %id, "state: taken");
-                self.lease.stream_began();
+                self.lease.stream_started();
             }
             Happening::Release(reason) => {
-                self.lease.want(now);
+                self.lease.request_release(now);
                 self.reason = reason;
             }
             Happening::Settle(settled) => self.waiting.push(settled),
--- a/src/replica/mod.rs
+++ b/src/replica/mod.rs
@@ -28,7 +28,7 @@
 impl Owner {
     /// The conductor of this name.
     pub fn of(name: &str) -> Self {
-        Owner(crate::estimate::key(name))
+        Owner(crate::estimate::name_hash(name))
     }
 }
 
--- a/src/replica/share.rs
+++ b/src/replica/share.rs
@@ -15,7 +15,7 @@
 use super::sync::{Reached, Say, Sync};
 use crate::api::Micros;
 use crate::control::state::{Agreed, Session};
-use crate::estimate::{Learnt, Spending};
+use crate::estimate::{FleetEstimates, Spending};
 use crate::peers::PeerMessage;
 
 /// Between tellings of what changed: figures of spending change all the time.
@@ -175,7 +175,7 @@
     // ---- From the serving side ----
 
     /// What the module has spent and learnt.
-    pub fn figures(&mut self, now: Micros, all: &Learnt) {
+    pub fn figures(&mut self, now: Micros, all: &FleetEstimates) {
         self.replica.spent(now, Spent::of(now, &all.spending()));
         if now >= self.learnt_at.saturating_add(LEARN_EVERY) {
             self.learnt_at = now;
@@ -363,8 +363,10 @@
     /// What is agreed on has moved.
     pub fn applied(&mut self, now: Micros, agreed: &Agreed) {
         if agreed.revision != self.policy.0 {
-            let digest =
-                agreed.documents.get(&agreed.revision).map_or(0, |document| crate::estimate::key(document));
+            let digest = agreed
+                .documents
+                .get(&agreed.revision)
+                .map_or(0, |document| crate::estimate::name_hash(document));
             self.policy = (agreed.revision, digest);
             self.policy_apart.clear();
         }
--- a/src/replica/store.rs
+++ b/src/replica/store.rs
@@ -9,7 +9,7 @@
 use super::marks::Marks;
 use super::{HORIZON, Owner};
 use crate::api::{Load, Micros};
-use crate::estimate::{Curve, Fading, Learnt, Spending};
+use crate::estimate::{DecayingMean, FleetEstimates, SpeedCurve, Spending};
 
 /// Buckets of the digest, under one root.
 pub const BUCKETS: usize = 256;
@@ -104,10 +104,10 @@
     /// As it stands now.
     pub fn of(now: Micros, spending: &Spending) -> Self {
         let Spending { arrived, retried, reads, writes, tenants, cold } = spending;
-        let tenants = tenants.iter().map(|(at, had)| (*at as u32, had.get(now, 0.0)));
-        let cold = cold.iter().map(|(at, sent)| (*at, sent.get(now, 0.0)));
+        let tenants = tenants.iter().map(|(at, had)| (*at as u32, had.decayed(now, 0.0)));
+        let cold = cold.iter().map(|(at, sent)| (*at, sent.decayed(now, 0.0)));
         Spent {
-            sums: [arrived, retried, reads, writes].map(|sum| sum.get(now, 0.0)),
+            sums: [arrived, retried, reads, writes].map(|sum| sum.decayed(now, 0.0)),
             tenants: tenants.take(FIGURES_MOST).collect(),
             cold: cold.take(FIGURES_MOST).collect(),
         }
@@ -115,7 +115,7 @@
 
     /// As it fades from this moment on.
     pub fn spending(&self, at: Micros) -> Spending {
-        let fading = |value: f64| Fading { value, at };
+        let fading = |value: f64| DecayingMean { value, updated_at: at };
         let [arrived, retried, reads, writes] = self.sums.map(fading);
         let tenants = self.tenants.iter().map(|(tenant, had)| (*tenant as usize, fading(*had))).collect();
         let cold = self.cold.iter().map(|(host, sent)| (*host, fading(*sent))).collect();
@@ -133,20 +133,25 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Figures {
     /// The speed curve of each kind.
-    pub curves: Vec<Curve>,
+    pub curves: Vec<SpeedCurve>,
     /// To read one token, to a first token; a request's tokens, a prompt's share kept at its home.
     pub means: [f64; 4],
 }
 
 impl Figures {
     /// As one router has it.
-    pub fn of(all: &Learnt) -> Self {
-        let means = [all.read_cost.value, all.first_took.value, all.footprint, all.kept_share];
+    pub fn of(all: &FleetEstimates) -> Self {
+        let means = [
+            all.read_cost.value,
+            all.first_token_time.value,
+            all.mean_request_tokens,
+            all.cached_prompt_share,
+        ];
         Figures { curves: all.curves.clone(), means }
     }
 
     fn fits(&self) -> bool {
-        let curves = self.curves.len() <= 64 && self.curves.iter().all(Curve::credible);
+        let curves = self.curves.len() <= 64 && self.curves.iter().all(SpeedCurve::is_credible);
         curves && self.means.iter().all(|mean| (0.0..=FIGURE_MOST).contains(mean))
     }
 }
@@ -518,7 +523,7 @@
             Value::Learnt(held) => Some(&held.value),
             _ => None,
         });
-        let known = |figures: &&Figures| figures.curves.iter().map(Curve::seen).sum::<f64>();
+        let known = |figures: &&Figures| figures.curves.iter().map(SpeedCurve::stream_count).sum::<f64>();
         all.max_by(|a, b| known(a).total_cmp(&known(b))).cloned()
     }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -511,52 +511,52 @@
         prefix: text_key(call.template, "template")?,
         prefix_tokens: call.prefix_tokens,
         prompt_tokens: call.n_prompt,
-        most_tokens: call.output_cap,
-        stream_hint: call.size_hint.filter(|&h| h > 0.0).map(micros),
+        max_output_tokens: call.output_cap,
+        expected_stream_time: call.size_hint.filter(|&h| h > 0.0).map(micros),
         time_left: micros(call.remaining),
-        again: call.again_by_client,
-        resumed: call.came_back,
-        whole: false,
+        is_client_retry: call.again_by_client,
+        is_resumed: call.came_back,
+        is_unary: false,
     })
 }
 
 fn event(event: WireEvent, names: &Names) -> Result<Option<Event>, String> {
     Ok(Some(match event {
-        WireEvent::Update { form: Form::Error, .. } => Event::HostsFailed,
-        WireEvent::Update { form, elements } => Event::Hosts {
-            whole: form != Form::Partial,
+        WireEvent::Update { form: Form::Error, .. } => Event::HostListFailed,
+        WireEvent::Update { form, elements } => Event::HostList {
+            is_complete: form != Form::Partial,
             members: elements.into_iter().map(|e| member(e, names)).collect::<Result<_, _>>()?,
         },
         WireEvent::Call(call) => Event::Request(request(*call, names)?),
-        WireEvent::HeadReceived { handle, round_no, took, host } => Event::Began {
+        WireEvent::HeadReceived { handle, round_no, took, host } => Event::FirstToken {
             request: RequestId(handle),
             attempt: AttemptId(round_no),
             host: HostId(host),
-            took: micros(took),
+            elapsed: micros(took),
         },
         WireEvent::HoldResult { handle, host, kind } => {
-            let held = match kind {
+            let is_held = match kind {
                 1 => true,
                 2 => false,
                 other => return Err(format!("holdResult: unknown kind {other}")),
             };
-            Event::Place { request: RequestId(handle), host: HostId(host), held }
+            Event::ReservationAnswered { request: RequestId(handle), host: HostId(host), is_held }
         }
         WireEvent::Reply { handle, round_no, host, terminal, info, state_code, took, health_info } => {
-            Event::Ended {
+            Event::AttemptEnded {
                 request: RequestId(handle),
                 attempt: AttemptId(round_no),
                 host: HostId(host),
                 outcome: outcome(state_code, info),
-                last: terminal,
-                kept: info,
-                took: micros(took),
+                is_final: terminal,
+                cached_tokens: info,
+                elapsed: micros(took),
                 load: health_info.map(load),
             }
         }
-        WireEvent::CancelledByClient { handle } => Event::Left(RequestId(handle)),
-        WireEvent::Reminder { nonce } => Event::Timer(nonce),
-        WireEvent::StatusBack { host, state_code, health_info } => Event::Probed {
+        WireEvent::CancelledByClient { handle } => Event::ClientLeft(RequestId(handle)),
+        WireEvent::Reminder { nonce } => Event::TimerExpired(nonce),
+        WireEvent::StatusBack { host, state_code, health_info } => Event::ProbeEnded {
             host: HostId(host),
             outcome: outcome(state_code, 0.0),
             load: health_info.map(load),
@@ -571,18 +571,18 @@
             Command::Send { handle: request.0, host: host.0, try_for: millis(time_out) }
         }
         Action::Cancel { request, attempt } => Command::Abandon { handle: request.0, round_no: attempt.0 },
-        Action::Refuse { request, come_back } => {
-            Command::Reject { handle: request.0, not_before_for: come_back.map(millis) }
+        Action::Refuse { request, retry_after } => {
+            Command::Reject { handle: request.0, not_before_for: retry_after.map(millis) }
         }
         Action::Fail(request) => Command::Error { handle: request.0 },
         Action::Release(request) => Command::ClearState { handle: request.0 },
-        Action::Ahead { request, host } => Command::PairEarly { handle: request.0, host: host.0 },
-        Action::Move(request) => Command::Redirect { handle: request.0 },
+        Action::ReserveWriter { request, host } => Command::PairEarly { handle: request.0, host: host.0 },
+        Action::MoveStream(request) => Command::Redirect { handle: request.0 },
         Action::Probe(host) => Command::SoundOut { host: host.0 },
-        Action::Close(host) => Command::LetGo { host: host.0 },
-        Action::List => Command::GetList {},
-        Action::Follow => Command::Observe { want: true },
-        Action::Wake { token, after } => Command::WakeMe { nonce: token, after: millis(after) },
+        Action::CloseIdleConnections(host) => Command::LetGo { host: host.0 },
+        Action::ListHosts => Command::GetList {},
+        Action::WatchHosts => Command::Observe { want: true },
+        Action::SetTimer { token, after } => Command::WakeMe { nonce: token, after: millis(after) },
         Action::Suspect { host, failures } => {
             let body_text = format!("host {} failed {failures} times in a row", host.0);
             Command::NoteDown { body_text }
--- a/tests/budgets.rs
+++ b/tests/budgets.rs
@@ -6,14 +6,14 @@
 
 use common::*;
 use croftsill::api::*;
-use croftsill::estimate::{Fading, Spending};
+use croftsill::estimate::{DecayingMean, Spending};
 
 /// Requests whose writes all fail; how many attempts they had together.
 fn attempts_while_all_fails(budget: Option<f64>, requests: u64, others: Option<Spending>) -> u32 {
     let budgets = Budgets { retries: budget, ..Budgets::default() };
     let members: Vec<_> = [member(READER, 0)].into_iter().chain((10..40).map(|h| member(h, 1))).collect();
     let mut rig = Rig::new(Settings { budgets, ..settings() }, &members);
-    rig.step(0, &others.map(|others| Event::Others(Rc::new(others))).into_iter().collect::<Vec<_>>());
+    rig.step(0, &others.map(|others| Event::PeerSpending(Rc::new(others))).into_iter().collect::<Vec<_>>());
     let mut attempts = 0;
     for id in 0..requests {
         let mut out = rig.request(id);
@@ -45,8 +45,8 @@
 fn repeats_that_others_have_begun_count() {
     let now = 100 * S;
     let spent = |arrived, retried| Spending {
-        arrived: Fading { value: arrived, at: now },
-        retried: Fading { value: retried, at: now },
+        arrived: DecayingMean { value: arrived, updated_at: now },
+        retried: DecayingMean { value: retried, updated_at: now },
         ..Spending::default()
     };
     let idle = attempts_while_all_fails(Some(0.2), 1, Some(spent(100.0, 0.0)));
@@ -130,10 +130,10 @@
         let members: Vec<_> = (1..5).map(|h| member(h, 0)).chain([member(20, 1), member(21, 1)]).collect();
         let mut rig = Rig::new(settings(), &members);
         let cold = Member { started: Some(rig.now), ..member(1, 0) };
-        rig.step(0, &[Event::Hosts { whole: false, members: vec![cold] }]);
+        rig.step(0, &[Event::HostList { is_complete: false, members: vec![cold] }]);
         let mut there = 0;
         for id in 0..200 {
-            let fresh = |value| Fading { value, at: rig.now };
+            let fresh = |value| DecayingMean { value, updated_at: rig.now };
             let others = Spending {
                 reads: fresh(200.0),
                 writes: fresh(200.0),
@@ -141,7 +141,7 @@
                 ..Spending::default()
             };
             let ask = NewRequest { prefix: Some(TextKey(id)), session: Some(TextKey(id)), ..ask(id) };
-            let out = rig.step(20 * MS, &[Event::Others(Rc::new(others)), Event::Request(ask)]);
+            let out = rig.step(20 * MS, &[Event::PeerSpending(Rc::new(others)), Event::Request(ask)]);
             let Some(reader) = sent_to(&out) else { continue };
             there += u32::from(reader == 1);
             let writer = sent_to(&rig.step(0, &[ended(id, reader, Outcome::Read, false)]));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -68,8 +68,8 @@
         prefix: Some(TextKey(7)),
         prefix_tokens: 1_000.0,
         prompt_tokens: 1_500.0,
-        most_tokens: 400.0,
-        stream_hint: Some(6 * S),
+        max_output_tokens: 400.0,
+        expected_stream_time: Some(6 * S),
         time_left: 4 * S,
         ..NewRequest::default()
     }
@@ -83,7 +83,7 @@
 impl Rig {
     pub fn new(settings: Settings, members: &[Member]) -> Rig {
         let mut rig = Rig { router: Router::new(settings, 5), now: 100 * S };
-        rig.step(0, &[Event::Hosts { whole: true, members: members.to_vec() }]);
+        rig.step(0, &[Event::HostList { is_complete: true, members: members.to_vec() }]);
         rig
     }
 
@@ -91,7 +91,7 @@
         self.now += after;
         let mut out = Vec::new();
         self.router.handle(self.now, events, &mut out);
-        out.retain(|a| !matches!(a, Action::Wake { .. }));
+        out.retain(|a| !matches!(a, Action::SetTimer { .. }));
         out
     }
 
@@ -100,7 +100,7 @@
     }
 
     pub fn tick(&mut self, after: Micros) -> Vec<Action> {
-        self.step(after, &[Event::Timer(0)])
+        self.step(after, &[Event::TimerExpired(0)])
     }
 
     pub fn end(&mut self, id: u64, host: u32, outcome: Outcome) -> Vec<Action> {
@@ -118,18 +118,18 @@
 }
 
 pub fn began(id: u64, host: u32) -> Event {
-    Event::Began { request: RequestId(id), attempt: AttemptId(1), host: HostId(host), took: 20 * MS }
+    Event::FirstToken { request: RequestId(id), attempt: AttemptId(1), host: HostId(host), elapsed: 20 * MS }
 }
 
 pub fn ended(id: u64, host: u32, outcome: Outcome, last: bool) -> Event {
-    Event::Ended {
+    Event::AttemptEnded {
         request: RequestId(id),
         attempt: AttemptId(0),
         host: HostId(host),
         outcome,
-        last,
-        kept: 0.0,
-        took: 20 * MS,
+        is_final: last,
+        cached_tokens: 0.0,
+        elapsed: 20 * MS,
         load: None,
     }
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -227,7 +227,7 @@
         let (caller, answer) = Caller::new("0a".into());
         let ask = NewRequest {
             prompt_tokens: 100.0,
-            most_tokens: 10.0,
+            max_output_tokens: 10.0,
             time_left: 1_000_000,
             ..Default::default()
         };
--- a/tests/decisions_at_shutdown.rs
+++ b/tests/decisions_at_shutdown.rs
@@ -53,7 +53,8 @@
     let mut out = Vec::new();
     let answers_until = rig.now + 300 * MS;
     rig.router.handle(rig.now, &[Event::Shutdown { answers_until }], &mut out);
-    let wakes = out.iter().any(|action| matches!(action, Action::Wake { after, .. } if *after == 300 * MS));
+    let wakes =
+        out.iter().any(|action| matches!(action, Action::SetTimer { after, .. } if *after == 300 * MS));
     assert!(wakes, "{out:?}");
 }
 
@@ -61,7 +62,7 @@
 fn what_is_held_is_refused_when_answers_are_due() {
     let mut rig = rig(Effect::Safe, 20 * S);
     // Nobody is left to take it.
-    rig.step(0, &[Event::Hosts { whole: true, members: Vec::new() }, patient(1)]);
+    rig.step(0, &[Event::HostList { is_complete: true, members: Vec::new() }, patient(1)]);
     told_to_end(&mut rig, S);
     let mut out = rig.tick(S - 20 * MS);
     assert!(out.is_empty(), "there is time");
@@ -86,7 +87,7 @@
 #[test]
 fn a_whole_answer_that_is_waited_for_keeps_its_time() {
     let mut rig = rig(Effect::Safe, 20 * S);
-    rig.step(0, &[Event::Request(NewRequest { time_left: 20 * S, whole: true, ..ask(1) })]);
+    rig.step(0, &[Event::Request(NewRequest { time_left: 20 * S, is_unary: true, ..ask(1) })]);
     rig.end(1, READER, Outcome::Read);
     told_to_end(&mut rig, S);
     assert!(rig.tick(10 * S).is_empty());
--- a/tests/growth.rs
+++ b/tests/growth.rs
@@ -18,9 +18,9 @@
 }
 
 fn looks(rig: &mut Rig, mut act: impl FnMut(&mut Rig)) -> u64 {
-    let before = rig.router.hosts_looked_at();
+    let before = rig.router.hosts_examined();
     act(rig);
-    rig.router.hosts_looked_at() - before
+    rig.router.hosts_examined() - before
 }
 
 /// Brings a request to its reader, past the answers of the readers that are asked first.
@@ -31,7 +31,8 @@
         _ => None,
     });
     let load = Load { in_flight: Some(1.0), memory: Some(0.2), ..Load::default() };
-    let told = asked.map(|host| Event::Probed { host, outcome: Outcome::Served, load: Some(load.clone()) });
+    let told =
+        asked.map(|host| Event::ProbeEnded { host, outcome: Outcome::Served, load: Some(load.clone()) });
     let told: Vec<_> = told.collect();
     sent_to(&out).or_else(|| sent_to(&rig.step(MS, &told))).expect("a reader")
 }
@@ -67,8 +68,8 @@
     });
     assert_eq!(looked, 0);
     let many: Vec<_> = (0..100)
-        .map(|n| Event::Hosts {
-            whole: false,
+        .map(|n| Event::HostList {
+            is_complete: false,
             members: vec![Member { phase: Phase::Draining, ..in_cell(n, 0, 0) }],
         })
         .collect();
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -10,30 +10,30 @@
 
 fn read(lease: &mut Lease, answered: Micros) {
     lease.read_sent();
-    lease.ended(answered, AttemptEnd::Read);
+    lease.attempt_ended(answered, AttemptEnd::Read);
 }
 
 #[test]
 fn the_clock_of_a_state_runs_on_until_its_stream_begins() {
     let mut lease = Lease::new(PIN_LIMIT);
-    assert!(lease.settled());
+    assert!(lease.is_settled());
     read(&mut lease, 40 * MS);
     lease.write_sent();
-    assert_eq!(lease.release_at(), Some(40 * MS + PERIOD), "a call that is out proves nothing");
-    lease.ended(300 * MS, AttemptEnd::Unknown);
+    assert_eq!(lease.next_release_at(), Some(40 * MS + PERIOD), "a call that is out proves nothing");
+    lease.attempt_ended(300 * MS, AttemptEnd::Unknown);
     lease.write_sent();
-    assert_eq!(lease.release_at(), Some(40 * MS + PERIOD), "nor does the end of one without a word");
-    lease.ended(400 * MS, AttemptEnd::NothingLeft);
+    assert_eq!(lease.next_release_at(), Some(40 * MS + PERIOD), "nor does the end of one without a word");
+    lease.attempt_ended(400 * MS, AttemptEnd::NothingLeft);
     lease.write_sent();
-    assert_eq!(lease.release_at(), Some(40 * MS + PERIOD), "nor one that was turned away");
-    lease.stream_began();
+    assert_eq!(lease.next_release_at(), Some(40 * MS + PERIOD), "nor one that was turned away");
+    lease.stream_started();
     assert_eq!(
-        lease.release_at(),
+        lease.next_release_at(),
         Some(300 * MS + PERIOD),
         "what the silent one may have left is released again"
     );
-    lease.released(300 * MS + PERIOD);
-    assert!(lease.settled());
+    lease.release_confirmed(300 * MS + PERIOD);
+    assert!(lease.is_settled());
 }
 
 #[test]
@@ -41,67 +41,75 @@
     let mut lease = Lease::new(PIN_LIMIT);
     read(&mut lease, 0);
     lease.write_sent();
-    lease.released(PERIOD);
-    assert_eq!(lease.release_at(), Some(2 * PERIOD), "the call may have arrived before, and end unanswered");
-    lease.ended(PERIOD + 1, AttemptEnd::NothingLeft);
-    lease.want(PERIOD + 2);
-    assert_eq!(lease.release_at(), Some(PERIOD + 2));
-    lease.released(PERIOD + 2);
-    assert!(lease.settled());
+    lease.release_confirmed(PERIOD);
+    assert_eq!(
+        lease.next_release_at(),
+        Some(2 * PERIOD),
+        "the call may have arrived before, and end unanswered"
+    );
+    lease.attempt_ended(PERIOD + 1, AttemptEnd::NothingLeft);
+    lease.request_release(PERIOD + 2);
+    assert_eq!(lease.next_release_at(), Some(PERIOD + 2));
+    lease.release_confirmed(PERIOD + 2);
+    assert!(lease.is_settled());
 }
 
 #[test]
 fn a_read_that_is_out_is_left_alone_and_released_when_it_ended_without_a_word() {
     let mut lease = Lease::new(PIN_LIMIT);
     lease.read_sent();
-    assert_eq!(lease.release_at(), None, "its reader would keep nothing");
-    lease.ended(2 * PERIOD, AttemptEnd::Unknown);
+    assert_eq!(lease.next_release_at(), None, "its reader would keep nothing");
+    lease.attempt_ended(2 * PERIOD, AttemptEnd::Unknown);
     lease.read_sent();
-    assert_eq!(lease.release_at(), Some(2 * PERIOD), "at once");
-    lease.released(2 * PERIOD);
-    assert_eq!(lease.release_at(), None, "beside another read no more");
-    lease.ended(2 * PERIOD + 1, AttemptEnd::NothingLeft);
+    assert_eq!(lease.next_release_at(), Some(2 * PERIOD), "at once");
+    lease.release_confirmed(2 * PERIOD);
+    assert_eq!(lease.next_release_at(), None, "beside another read no more");
+    lease.attempt_ended(2 * PERIOD + 1, AttemptEnd::NothingLeft);
     for again in 1..5 {
         // And again while it may work on.
-        assert_eq!(lease.release_at(), Some((2 + again) * PERIOD));
-        lease.released((2 + again) * PERIOD);
+        assert_eq!(lease.next_release_at(), Some((2 + again) * PERIOD));
+        lease.release_confirmed((2 + again) * PERIOD);
     }
-    assert!(lease.settled());
+    assert!(lease.is_settled());
 }
 
 #[test]
 fn what_never_arrived_leaves_nothing_to_release() {
     let mut lease = Lease::new(PIN_LIMIT);
     lease.read_sent();
-    lease.ended(5, AttemptEnd::NothingLeft);
-    lease.want(6);
-    assert!(lease.settled());
+    lease.attempt_ended(5, AttemptEnd::NothingLeft);
+    lease.request_release(6);
+    assert!(lease.is_settled());
     read(&mut lease, 8);
     lease.write_sent();
-    lease.ended(9, AttemptEnd::NoState);
-    lease.want(10);
-    assert!(lease.settled(), "a writer that finds no state says so");
+    lease.attempt_ended(9, AttemptEnd::NoState);
+    lease.request_release(10);
+    assert!(lease.is_settled(), "a writer that finds no state says so");
 }
 
 #[test]
 fn what_was_just_read_is_not_released_for_what_an_earlier_read_may_leave() {
     let mut lease = Lease::new(PIN_LIMIT);
     lease.read_sent();
-    lease.ended(10, AttemptEnd::Unknown);
-    lease.released(10);
+    lease.attempt_ended(10, AttemptEnd::Unknown);
+    lease.release_confirmed(10);
     read(&mut lease, 2 * PERIOD);
-    assert_eq!(lease.release_at(), Some(2 * PERIOD + 850 * MS), "the router lets go first");
+    assert_eq!(lease.next_release_at(), Some(2 * PERIOD + 850 * MS), "the router lets go first");
     lease.write_sent();
-    assert_eq!(lease.release_at(), Some(3 * PERIOD));
+    assert_eq!(lease.next_release_at(), Some(3 * PERIOD));
 }
 
 #[test]
 fn a_release_counts_from_its_sending() {
     let mut lease = Lease::new(PIN_LIMIT);
     read(&mut lease, 50);
-    lease.want(60);
-    lease.released(40);
-    assert_eq!(lease.release_at(), Some(60), "one that was sent before the state was there let nothing go");
+    lease.request_release(60);
+    lease.release_confirmed(40);
+    assert_eq!(
+        lease.next_release_at(),
+        Some(60),
+        "one that was sent before the state was there let nothing go"
+    );
 }
 
 /// One attempt as its server and the network have it.
@@ -177,10 +185,10 @@
                 match release {
                     Some(sent) if now == sent + RELEASE_TAKES => servers.release(now),
                     Some(sent) if now >= sent + 2 * RELEASE_TAKES => {
-                        lease.released(sent);
+                        lease.release_confirmed(sent);
                         release = None;
                     }
-                    None if lease.release_at().is_some_and(|at| at <= now) => release = Some(now),
+                    None if lease.next_release_at().is_some_and(|at| at <= now) => release = Some(now),
                     _ => {}
                 }
             }
@@ -203,21 +211,21 @@
                 }
                 at = pass(ended, &mut lease, &mut servers);
                 is_ready = answered;
-                lease.ended(at, if answered { AttemptEnd::Read } else { AttemptEnd::Unknown });
+                lease.attempt_ended(at, if answered { AttemptEnd::Read } else { AttemptEnd::Unknown });
             } else {
                 lease.write_sent();
                 if attempt.arrives && servers.held_since.is_some() {
                     servers.out_until = at + attempt.time_out + attempt.end_takes;
                 }
                 at = pass(over, &mut lease, &mut servers);
-                lease.ended(at, AttemptEnd::Unknown);
-                lease.want(at);
+                lease.attempt_ended(at, AttemptEnd::Unknown);
+                lease.request_release(at);
                 is_ready = false;
             }
         }
-        lease.want(at);
+        lease.request_release(at);
         pass(at + 8 * PERIOD, &mut lease, &mut servers);
-        prop_assert!(lease.settled());
+        prop_assert!(lease.is_settled());
         prop_assert!(servers.held_longest <= PIN_LIMIT + 300 * MS, "{}", servers.held_longest);
         prop_assert!(servers.held_since.is_none());
     }
@@ -227,20 +235,20 @@
 fn while_a_connection_stays_silent_its_read_may_still_arrive() {
     let mut lease = Lease::new(PIN_LIMIT);
     lease.read_sent();
-    lease.ended(10, AttemptEnd::Unknown);
-    lease.fell_silent();
+    lease.attempt_ended(10, AttemptEnd::Unknown);
+    lease.connection_fell_silent();
     let mut sent = 10;
     for _ in 0..20 {
-        assert_eq!(lease.release_at(), Some(sent));
-        lease.released(sent);
+        assert_eq!(lease.next_release_at(), Some(sent));
+        lease.release_confirmed(sent);
         sent += PERIOD;
     }
     let ended = sent - PERIOD / 2;
-    lease.silence_ended(ended);
-    while let Some(at) = lease.release_at() {
+    lease.silent_connection_closed(ended);
+    while let Some(at) = lease.next_release_at() {
         sent = at;
-        lease.released(at);
+        lease.release_confirmed(at);
     }
-    assert!(lease.settled());
+    assert!(lease.is_settled());
     assert!(sent >= ended + 3 * PERIOD + PERIOD / 2, "it may work on for so long once it has arrived");
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -3,7 +3,7 @@
 
 use common::*;
 use croftsill::api::*;
-use croftsill::estimate::{Fading, Learnt, READ_EXTRA};
+use croftsill::estimate::{DecayingMean, FleetEstimates, READ_OVERHEAD_TOKENS};
 
 #[test]
 fn a_request_is_read_then_written() {
@@ -44,7 +44,7 @@
     assert_eq!(sent_to(&rig.request(1)), Some(READER));
     assert_eq!(sent_to(&rig.end(1, READER, Outcome::Read)), Some(WRITER));
     let gone = Member { phase: Phase::Gone, ..members[1].clone() };
-    rig.step(0, &[Event::Hosts { whole: false, members: vec![gone] }]);
+    rig.step(0, &[Event::HostList { is_complete: false, members: vec![gone] }]);
     rig.request(2);
     assert_eq!(sent_to(&rig.end(2, READER, Outcome::Read)), Some(11));
 }
@@ -114,7 +114,7 @@
     let mut rig = Rig::new(settings(), &[member(READER, 0), member(20, 2)]);
     assert_eq!(sent_to(&rig.request(1)), Some(READER));
     let gone = Member { phase: Phase::Gone, ..member(READER, 0) };
-    rig.step(0, &[Event::Hosts { whole: false, members: vec![gone] }]);
+    rig.step(0, &[Event::HostList { is_complete: false, members: vec![gone] }]);
     assert_eq!(sent_to(&rig.request(2)), Some(20));
 }
 
@@ -122,9 +122,9 @@
 fn the_list_is_asked_for_where_it_must_be_and_again_when_that_failed() {
     let mut rig =
         Rig { router: croftsill::Router::new(Settings { ask_for_list: true, ..settings() }, 1), now: 0 };
-    assert_eq!(rig.step(0, &[]), [Action::Follow]);
+    assert_eq!(rig.step(0, &[]), [Action::WatchHosts]);
     assert_eq!(rig.step(S, &[]), []);
-    assert_eq!(rig.step(0, &[Event::HostsFailed]), [Action::Follow]);
+    assert_eq!(rig.step(0, &[Event::HostListFailed]), [Action::WatchHosts]);
 }
 
 #[test]
@@ -166,7 +166,7 @@
     let members: Vec<_> = (1..10).map(|h| member(h, 0)).chain([member(WRITER, 1)]).collect();
     let read_at = |router, session| {
         let mut rig = Rig { router: croftsill::Router::new(settings(), router), now: 100 * S };
-        rig.step(0, &[Event::Hosts { whole: true, members: members.clone() }]);
+        rig.step(0, &[Event::HostList { is_complete: true, members: members.clone() }]);
         let asked = NewRequest { session: Some(TextKey(session)), ..ask(1) };
         sent_to(&rig.step(0, &[Event::Request(asked)])).unwrap()
     };
@@ -181,7 +181,7 @@
     let mut taken = std::collections::BTreeMap::new();
     for router in 0..100 {
         let mut rig = Rig { router: croftsill::Router::new(settings(), router), now: 100 * S };
-        rig.step(0, &[Event::Hosts { whole: true, members: members.clone() }]);
+        rig.step(0, &[Event::HostList { is_complete: true, members: members.clone() }]);
         rig.request(1);
         *taken.entry(sent_to(&rig.end(1, READER, Outcome::Read)).unwrap()).or_insert(0) += 1;
     }
@@ -204,7 +204,7 @@
     let mut near = 0;
     for router in 0..100 {
         let mut rig = Rig { router: croftsill::Router::new(settings(), router), now: 100 * S };
-        rig.step(0, &[Event::Hosts { whole: true, members: members.clone() }]);
+        rig.step(0, &[Event::HostList { is_complete: true, members: members.clone() }]);
         let reader = sent_to(&rig.request(router)).unwrap();
         near += usize::from(sent_to(&rig.end(router, reader, Outcome::Read)) == Some(WRITER));
     }
@@ -218,8 +218,8 @@
     let mut rig = Rig::new(set, &[member(READER, 0), member(WRITER, 1)]);
     rig.request(1);
     let mut full = ended(1, READER, Outcome::Full, false);
-    if let Event::Ended { took, .. } = &mut full {
-        *took = 300 * MS;
+    if let Event::AttemptEnded { elapsed, .. } = &mut full {
+        *elapsed = 300 * MS;
     }
     assert_eq!(sent_to(&rig.step(300 * MS, &[full])), None);
     let other = NewRequest { class: ClassId(1), ..ask(2) };
@@ -233,8 +233,8 @@
     for id in 0..6 {
         if sent_to(&rig.request(id)).is_some() {
             let mut end = ended(id, READER, Outcome::TimedOut, true);
-            if let Event::Ended { took, .. } = &mut end {
-                *took = 2 * S;
+            if let Event::AttemptEnded { elapsed, .. } = &mut end {
+                *elapsed = 2 * S;
             }
             rig.step(2 * S, &[end]);
         }
@@ -285,8 +285,8 @@
     // A request that has to wait: its writer is gone from the choices.
     rig.step(
         0,
-        &[Event::Hosts {
-            whole: false,
+        &[Event::HostList {
+            is_complete: false,
             members: vec![Member { phase: Phase::Draining, ..member(READER, 0) }],
         }],
     );
@@ -301,7 +301,7 @@
 
 fn report(host: u32, in_flight: f64) -> Event {
     let load = Some(Load { in_flight: Some(in_flight), memory: Some(0.1), ..Load::default() });
-    Event::Probed { host: HostId(host), outcome: Outcome::Served, load }
+    Event::ProbeEnded { host: HostId(host), outcome: Outcome::Served, load }
 }
 
 fn one_of_a_hundred(members: &[Member]) -> Rig {
@@ -337,13 +337,13 @@
         let mut taken = 0;
         for router in 0..100 {
             let mut rig = Rig { router: croftsill::Router::new(set.clone(), router), now: 100 * S };
-            rig.step(0, &[Event::Hosts { whole: true, members: members.clone() }]);
+            rig.step(0, &[Event::HostList { is_complete: true, members: members.clone() }]);
             let held =
                 |host| Some(Load { memory: Some(if host == 10 { 0.01 } else { 0.3 }), ..Load::default() });
             for host in [11, 12, 13, 10] {
                 rig.step(
                     0,
-                    &[Event::Probed { host: HostId(host), outcome: Outcome::Served, load: held(host) }],
+                    &[Event::ProbeEnded { host: HostId(host), outcome: Outcome::Served, load: held(host) }],
                 );
             }
             rig.request(1);
@@ -377,7 +377,10 @@
     let went = sent_to(&rig.tick(30 * MS)).unwrap();
     assert!(went != *silent && others.contains(&went), "{went} of {homes:?}");
     // The probe has failed: for some time nobody else is sent there either.
-    rig.step(200 * MS, &[Event::Probed { host: HostId(*silent), outcome: Outcome::TimedOut, load: None }]);
+    rig.step(
+        200 * MS,
+        &[Event::ProbeEnded { host: HostId(*silent), outcome: Outcome::TimedOut, load: None }],
+    );
     let later = probed(&rig.step(S, &[Event::Request(ask(2))]));
     assert!(!later.contains(silent), "{later:?}");
 }
@@ -420,7 +423,7 @@
         let members = [member(READER, 0), member(WRITER, 1)];
         let mut rig = Rig::new(Settings { routers: 0, ..settings() }, &members);
         let load = Some(Load { memory: Some(memory), ..Load::default() });
-        rig.step(MS, &[Event::Probed { host: HostId(WRITER), outcome: Outcome::Served, load }]);
+        rig.step(MS, &[Event::ProbeEnded { host: HostId(WRITER), outcome: Outcome::Served, load }]);
         assert_eq!(rig.serve(1, 2 * S), Some(WRITER), "{memory}");
     }
 }
@@ -444,14 +447,14 @@
 }
 
 fn took(id: u64, host: u32, took: Micros) -> Event {
-    Event::Ended {
+    Event::AttemptEnded {
         request: RequestId(id),
         attempt: AttemptId(0),
         host: HostId(host),
         outcome: Outcome::Read,
-        last: false,
-        kept: 0.0,
-        took,
+        is_final: false,
+        cached_tokens: 0.0,
+        elapsed: took,
         load: None,
     }
 }
@@ -464,7 +467,10 @@
     }
     let load = Some(Load { memory: Some(0.95), ..Load::default() });
     for _ in 0..12 {
-        rig.step(0, &[Event::Probed { host: HostId(WRITER), outcome: Outcome::Served, load: load.clone() }]);
+        rig.step(
+            0,
+            &[Event::ProbeEnded { host: HostId(WRITER), outcome: Outcome::Served, load: load.clone() }],
+        );
     }
     assert_eq!(sent_to(&rig.request(99)), None);
 }
@@ -472,8 +478,8 @@
 #[test]
 fn what_was_never_sent_or_asked_for_is_passed_over() {
     let mut rig = Rig::new(settings(), &[member(READER, 0), member(WRITER, 1)]);
-    let out =
-        rig.step(0, &[Event::Left(RequestId(77)), began(78, 999), ended(79, 999, Outcome::Served, true)]);
+    let out = rig
+        .step(0, &[Event::ClientLeft(RequestId(77)), began(78, 999), ended(79, 999, Outcome::Served, true)]);
     assert_eq!((sent_to(&out), finals(&out)), (None, 0));
 }
 
@@ -484,7 +490,7 @@
         [.., Action::Send { time_out, .. }] => *time_out,
         other => panic!("expected one send, found {other:?}"),
     };
-    let whole = |id| Event::Request(NewRequest { whole: true, ..ask(id) });
+    let whole = |id| Event::Request(NewRequest { is_unary: true, ..ask(id) });
     assert!(time_out(&rig.request(1)) < 4 * S, "silence of a stream is a sign");
     assert_eq!(time_out(&rig.step(0, &[whole(2)])), 4 * S);
     // Nor does its silence make the host look slow to the next.
@@ -509,13 +515,13 @@
     };
     play(&mut rig, 0..800);
     if handed_on {
-        let all = rig.router.all.clone();
+        let all = rig.router.fleet.clone();
         let now = rig.now;
         rig = Rig { now, ..Rig::new(settings(), &members) };
-        rig.router.all = all;
+        rig.router.fleet = all;
     }
     let cold = Member { started: Some(rig.now - age), ..member(1, 0) };
-    rig.step(0, &[Event::Hosts { whole: false, members: vec![cold] }]);
+    rig.step(0, &[Event::HostList { is_complete: false, members: vec![cold] }]);
     play(&mut rig, 1_000..1_080)
 }
 
@@ -545,7 +551,7 @@
 
 #[test]
 fn what_streams_near_the_end_is_moved_where_its_client_finds_the_rest() {
-    assert_eq!(told_of_the_end(2, true), [Action::Move(RequestId(1))]);
+    assert_eq!(told_of_the_end(2, true), [Action::MoveStream(RequestId(1))]);
     assert!(told_of_the_end(2, false).is_empty(), "nobody comes for the rest");
     assert!(told_of_the_end(1, true).is_empty(), "there is no other conductor");
     assert!(told_of_the_end(100, true).is_empty(), "among many some always serve");
@@ -560,15 +566,15 @@
         draw = draw.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
         (draw >> 33) as f64 / (1u64 << 31) as f64
     };
-    let mut learnt = Learnt::new(1);
-    let mut host = Fading::default();
+    let mut learnt = FleetEstimates::new(1);
+    let mut host = DecayingMean::default();
     let mut sum = 0.0;
     for n in 0..4_000i64 {
         // Heavy tails: most prompts are kept but for a little, a few are long.
         let unread = if roll() < 0.7 { 100.0 + 400.0 * roll() } else { 2_000.0 + 12_000.0 * roll() };
         let queued = if roll() < 0.3 { 300_000.0 * roll() } else { 0.0 };
-        let (load, speed) = (unread + READ_EXTRA, if n < 2_000 { 1.0 } else { 2.0 });
-        learnt.read(
+        let (load, speed) = (unread + READ_OVERHEAD_TOKENS, if n < 2_000 { 1.0 } else { 2.0 });
+        learnt.record_read(
             n * 50 * MS,
             &mut host,
             (unread, load, (load * truth * speed + queued) as Micros, 0.25),
@@ -594,7 +600,7 @@
         let late = NewRequest { prompt_tokens: 40_000.0, ..ask(1) };
         let went = sent_to(&rig.step(0, &[Event::Request(late)])).expect("it is sent");
         rig.step(30 * MS, &[ended(1, went, Outcome::Full, false)]);
-        rig.router.all.low_gap
+        rig.router.fleet.low_tier_interval
     };
     let (few, many) = (gap(10), gap(100));
     assert!(few > 0.0 && (many * 10.0 - few).abs() < 1.0, "{few} and {many}");
@@ -612,7 +618,7 @@
     let late: Vec<_> = (0..30).filter_map(|_| sent_to(&rig.tick(50 * MS))).collect();
     assert!(late.iter().all(|&host| host == READER), "{late:?}");
     let gone = Member { phase: Phase::Gone, ..member(READER, 0) };
-    rig.step(0, &[Event::Hosts { whole: false, members: vec![gone] }]);
+    rig.step(0, &[Event::HostList { is_complete: false, members: vec![gone] }]);
     assert_eq!(sent_to(&rig.request(99)), Some(WRITER));
 }
 
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -138,7 +138,7 @@
             session: Some(TextKey(session.wrapping_mul(0x9e37_79b9_7f4a_7c15))),
             prefix: Some(TextKey(beginning.unwrap_or(0) as u64 * 77_777 + 5)),
             time_left: 6 * S,
-            again,
+            is_client_retry: again,
             ..common::ask(id)
         };
         self.tell(now, router, &[Event::Request(request)]);
@@ -163,7 +163,7 @@
                     self.put(now + after, Next::Tell(router, request.0, host.0, kind));
                 }
                 Action::Probe(host) => self.put(now + 4 * MS, Next::Probe(router, host.0)),
-                Action::Wake { token, after } => self.put(now + after, Next::Timer(router, token)),
+                Action::SetTimer { token, after } => self.put(now + after, Next::Timer(router, token)),
                 Action::Refuse { request, .. } | Action::Fail(request) => {
                     self.refused += 1;
                     if let Some((router, session, left)) = self.open.remove(&request.0)
@@ -191,7 +191,7 @@
             .map(|host| member(&self.case, host, None))
             .collect();
         for router in 0..self.routers.len() {
-            self.tell(0, router, &[Event::Hosts { whole: true, members: all.clone() }]);
+            self.tell(0, router, &[Event::HostList { is_complete: true, members: all.clone() }]);
         }
         self.put(0, Next::Arrive);
         let rate = self.case.load * TAKES * f64::from(self.case.readers());
@@ -205,7 +205,7 @@
                 let cold = all.iter().filter(|m| is_cold(&self.case, m.host.0));
                 let cold: Vec<_> = cold.map(|m| member(&self.case, m.host.0, Some(START))).collect();
                 for router in 0..self.routers.len() {
-                    self.tell(now, router, &[Event::Hosts { whole: false, members: cold.clone() }]);
+                    self.tell(now, router, &[Event::HostList { is_complete: false, members: cold.clone() }]);
                 }
             }
             match next {
@@ -233,22 +233,22 @@
                     }
                 }
                 Next::Again { router, session, left } => self.ask(now, router, session, left, true),
-                Next::Timer(router, token) => self.tell(now, router, &[Event::Timer(token)]),
+                Next::Timer(router, token) => self.tell(now, router, &[Event::TimerExpired(token)]),
                 Next::Probe(router, host) => {
                     let load = Some(Load { in_flight: Some(1.0), memory: Some(0.2), ..Load::default() });
-                    let event = Event::Probed { host: HostId(host), outcome: Outcome::Served, load };
+                    let event = Event::ProbeEnded { host: HostId(host), outcome: Outcome::Served, load };
                     self.tell(now, router, &[event]);
                 }
                 Next::Tell(router, id, host, kind) => {
                     let (request, host) = (RequestId(id), HostId(host));
-                    let ended = |outcome, last| Event::Ended {
+                    let ended = |outcome, last| Event::AttemptEnded {
                         request,
                         attempt: AttemptId(0),
                         host,
                         outcome,
-                        last,
-                        kept: 700.0,
-                        took: 60 * MS,
+                        is_final: last,
+                        cached_tokens: 700.0,
+                        elapsed: 60 * MS,
                         load: None,
                     };
                     let event = match kind {
@@ -256,7 +256,7 @@
                         3 => ended(Outcome::Error, false),
                         1 => {
                             self.put(now + 1_500 * MS, Next::Tell(router, id, host.0, 2));
-                            Event::Began { request, attempt: AttemptId(1), host, took: 40 * MS }
+                            Event::FirstToken { request, attempt: AttemptId(1), host, elapsed: 40 * MS }
                         }
                         _ => {
                             self.open.remove(&id);
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -5,7 +5,7 @@
 
 use croftsill::api::Micros;
 use croftsill::control::state::{Agreed, Session};
-use croftsill::estimate::{Curve, Fading, Spending};
+use croftsill::estimate::{DecayingMean, SpeedCurve, Spending};
 use croftsill::peers::PeerMessage;
 use croftsill::replica::clock::{AHEAD_MOST, Hybrid, Stamp};
 use croftsill::replica::idempotency::{
@@ -137,8 +137,8 @@
 }
 
 fn learnt(run: u64, n: u64) -> Value {
-    let mut curve = Curve::default();
-    (0..n).for_each(|_| curve.learn(1.0, 100.0, 6e6));
+    let mut curve = SpeedCurve::default();
+    (0..n).for_each(|_| curve.add_stream(1.0, 100.0, 6e6));
     Value::Learnt(Owned { run, n, value: Figures { curves: vec![curve], means: [80.0, 1e5, 500.0, 0.5] } })
 }
 
@@ -283,22 +283,22 @@
         &mut replica,
         &[(Key::Spent(Owner(1)), spent(1, 8)), (Key::Report("w1".into()), report(true, NOW, 0, 1))],
     );
-    assert_eq!(replica.others(NOW).sent_cold(NOW, 7), 8.0);
-    assert_eq!(replica.others(NOW + FRESH + 1).sent_cold(NOW + FRESH + 1, 7), 0.0);
+    assert_eq!(replica.others(NOW).cold_sends(NOW, 7), 8.0);
+    assert_eq!(replica.others(NOW + FRESH + 1).cold_sends(NOW + FRESH + 1, 7), 0.0);
     replica.tidy(NOW + FRESH + 1);
     assert_eq!(replica.all().count(), 0);
 }
 
 #[test]
 fn spending_fades_from_when_it_came_whatever_the_writer_s_clock() {
-    let fading = |value| Fading { value, at: NOW };
+    let fading = |value| DecayingMean { value, updated_at: NOW };
     let mine =
         Spending { arrived: fading(4.0), cold: BTreeMap::from([(7, fading(2.0))]), ..Spending::default() };
     let told = Spent::of(NOW + 6 * S, &mine);
     assert!((told.sums[0] - 2.0).abs() < 1e-9, "half is left after the fade's half life");
     let there = told.spending(77 * S);
-    assert!((there.arrived.get(77 * S, 0.0) - 2.0).abs() < 1e-9);
-    assert!((there.sent_cold(83 * S, 7) - 0.5).abs() < 1e-9);
+    assert!((there.arrived.decayed(77 * S, 0.0) - 2.0).abs() < 1e-9);
+    assert!((there.cold_sends(83 * S, 7) - 0.5).abs() < 1e-9);
 }
 
 // ---- Copies that differ where they must not ----
@@ -589,7 +589,7 @@
                     copies.iter_mut().for_each(|copy| take_all(copy, &all));
                 }
             }
-            let others = copies[2].others(NOW).arrived.get(NOW, 0.0);
+            let others = copies[2].others(NOW).arrived.decayed(NOW, 0.0);
             assert!((others - 12.0).abs() < 1e-9, "each side's spending counts once: {others}");
             assert!(copies.windows(2).all(|pair| all_of(&pair[0]) == all_of(&pair[1])));
             let marks = copies[0].marks();
@@ -663,7 +663,7 @@
     let agreed =
         Agreed { revision: 3, documents: BTreeMap::from([(3, document.clone())]), ..Agreed::default() };
     share.applied(NOW, &agreed);
-    let digest = croftsill::estimate::key(&document);
+    let digest = croftsill::estimate::name_hash(&document);
     let mut hear = |say| {
         share.hear(NOW, "b", PeerMessage::State(say), &agreed, false);
         share.status(NOW, &agreed)["set_aside"].as_array().map_or(0, Vec::len)
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -42,7 +42,7 @@
     let times: std::collections::BTreeSet<_> = out
         .iter()
         .filter_map(|a| match a {
-            Action::Refuse { come_back, .. } => *come_back,
+            Action::Refuse { retry_after, .. } => *retry_after,
             _ => None,
         })
         .collect();
@@ -54,7 +54,7 @@
 fn rule_1_nothing_is_sent_for_a_request_whose_client_left() {
     let mut rig = Rig::new(settings(), &[member(READER, 0), member(WRITER, 1)]);
     rig.request(1);
-    rig.step(0, &[Event::Left(RequestId(1))]);
+    rig.step(0, &[Event::ClientLeft(RequestId(1))]);
     let out = rig.end(1, READER, Outcome::Read);
     assert_eq!((sent_to(&out), finals(&out)), (None, 0));
     assert!(out.contains(&Action::Release(RequestId(1))), "and its state is let go: {out:?}");
@@ -124,16 +124,16 @@
     let mut rig = Rig::new(settings(), &[member(READER, 0), member(WRITER, 1), member(11, 1)]);
     rig.request(1);
     let drains = |host| Member { phase: Phase::Draining, ..member(host, 1) };
-    rig.step(0, &[Event::Hosts { whole: false, members: vec![drains(WRITER)] }]);
+    rig.step(0, &[Event::HostList { is_complete: false, members: vec![drains(WRITER)] }]);
     assert_eq!(sent_to(&rig.end(1, READER, Outcome::Read)), Some(11));
-    rig.step(0, &[Event::Hosts { whole: false, members: vec![drains(11)] }]);
+    rig.step(0, &[Event::HostList { is_complete: false, members: vec![drains(11)] }]);
     assert_eq!(sent_to(&rig.request(2)), None);
 }
 
 #[test]
 fn rule_3_a_host_missing_from_a_whole_list_is_gone() {
     let mut rig = Rig::new(settings(), &[member(READER, 0), member(WRITER, 1)]);
-    rig.step(0, &[Event::Hosts { whole: true, members: vec![member(READER, 0)] }]);
+    rig.step(0, &[Event::HostList { is_complete: true, members: vec![member(READER, 0)] }]);
     assert_eq!(sent_to(&rig.request(1)), None);
 }
 
@@ -154,7 +154,7 @@
     let mut rig = Rig::new(settings(), &[member(READER, 0), member(WRITER, 1)]);
     rig.request(1);
     let gone = Member { phase: Phase::Gone, ..member(WRITER, 1) };
-    rig.step(0, &[Event::Hosts { whole: false, members: vec![gone] }]);
+    rig.step(0, &[Event::HostList { is_complete: false, members: vec![gone] }]);
     let mut out = rig.end(1, READER, Outcome::Read);
     let read_at = rig.now;
     while !out.contains(&Action::Release(RequestId(1))) {
@@ -194,7 +194,7 @@
 fn rule_1_a_request_of_no_known_class_is_refused_at_once() {
     let mut rig = Rig::new(settings(), &[member(READER, 0), member(WRITER, 1)]);
     let out = rig.step(0, &[Event::Request(NewRequest { class: ClassId(9), ..ask(1) })]);
-    assert_eq!(out, [Action::Refuse { request: RequestId(1), come_back: None }]);
+    assert_eq!(out, [Action::Refuse { request: RequestId(1), retry_after: None }]);
 }
 
 #[test]
@@ -202,8 +202,12 @@
     let started = Member { started: Some(Micros::MAX), ..member(WRITER, 1) };
     let mut rig = Rig::new(settings(), &[member(READER, 0), started]);
     for (id, time_left) in [(1, Micros::MAX), (2, -S), (3, 0)] {
-        let odd =
-            NewRequest { time_left, prompt_tokens: f64::MAX, stream_hint: Some(Micros::MAX), ..ask(id) };
+        let odd = NewRequest {
+            time_left,
+            prompt_tokens: f64::MAX,
+            expected_stream_time: Some(Micros::MAX),
+            ..ask(id)
+        };
         rig.step(0, &[Event::Request(odd)]);
     }
     for id in 1..4 {
@@ -218,7 +222,7 @@
     set.limits.max_attempts = 1;
     set.kinds.truncate(2);
     let mut rig = Rig::new(set, &[member(READER, 0), member(WRITER, 1)]);
-    assert_eq!(rig.request(1), [Action::Refuse { request: RequestId(1), come_back: None }]);
+    assert_eq!(rig.request(1), [Action::Refuse { request: RequestId(1), retry_after: None }]);
 }
 
 #[test]
@@ -229,10 +233,10 @@
     let mut sends = Vec::new();
     for router in 0..100u64 {
         let mut rig = Rig { router: croftsill::Router::new(settings(), router), now: 100 * S };
-        rig.step(0, &[Event::Hosts { whole: true, members: members.clone() }]);
+        rig.step(0, &[Event::HostList { is_complete: true, members: members.clone() }]);
         for n in 0..42 {
             if n == 30 {
-                rig.step(0, &[Event::Hosts { whole: false, members: vec![cold.clone()] }]);
+                rig.step(0, &[Event::HostList { is_complete: false, members: vec![cold.clone()] }]);
             }
             let (id, after) = (router * 1000 + n, 10 * MS * router as Micros);
             let asked = NewRequest { prefix: Some(TextKey(id)), ..ask(id) };
@@ -270,7 +274,7 @@
     let first = writer(rig.end(1, READER, Outcome::Read));
     let mut one_try = settings();
     one_try.limits.max_attempts = 2;
-    rig.step(0, &[Event::Policy(std::rc::Rc::new(one_try))]);
+    rig.step(0, &[Event::SettingsChanged(std::rc::Rc::new(one_try))]);
     assert!(sent_to(&rig.end(1, first, Outcome::Full)).is_some(), "the older request may go on");
     rig.request(2);
     let first = writer(rig.end(2, READER, Outcome::Read));
