--- a/src/estimate.rs
+++ b/src/estimate.rs
@@ -156,7 +156,7 @@
         values.into_iter().all(|value| (0.0..1e18).contains(value))
     }
 
-    /// Returns the microseconds per token at this load, or 0 until [`MIN_FIT_STREAMS`] streams have ended.
+    /// Returns the microseconds per token at this load, or 0 until enough streams have ended.
     pub fn time_per_token(&self, load: f64) -> f64 {
         if self.stream_count < MIN_FIT_STREAMS {
             0.0
--- a/src/logic/admission.rs
+++ b/src/logic/admission.rs
@@ -204,8 +204,8 @@
         let load = self.stream_count_at(now, host) + if is_new_stream { 1.0 } else { 0.0 };
         let pace =
             self.fleet.curves[host.kind.0].time_per_token(load) / host.warmth(now, &self.settings.rules);
-        let strictest = host.streams.iter().filter_map(|id| self.requests.get(id)).map(|s| s.token_aim);
-        let pace_target = strictest.fold(request.token_aim, f64::min);
+        let stream_targets = host.streams.iter().filter_map(|id| self.requests.get(id)).map(|s| s.token_aim);
+        let pace_target = stream_targets.fold(request.token_aim, f64::min);
         let pace_share = pace / (pace_target * MAX_PACE_SHARE);
         let added_tokens = if is_new_stream { request.total_tokens } else { 0.0 };
         let held_tokens = self.own_tokens_at(host, |_| true) + added_tokens + self.other_tokens_at(now, host);
--- a/src/logic/cold.rs
+++ b/src/logic/cold.rs
@@ -37,10 +37,10 @@
     /// Rule 4 by count, where routers exchange spending: returns whether one more send would exceed the
     /// budget of a cold host.
     pub(super) fn exceeds_cold_budget(&self, now: Micros, host: &Host, request: &Request) -> bool {
-        let (warmth, Some(others)) = (host.warmth(now, &self.settings.rules), &self.peer_spending) else {
+        let (warmth, Some(peers)) = (host.warmth(now, &self.settings.rules), &self.peer_spending) else {
             return false;
         };
-        let peer_sends = if host.role == Role::Read { others.reads } else { others.writes };
+        let peer_sends = if host.role == Role::Read { peers.reads } else { peers.writes };
         let mean_sends = (self.own_sends(host).decayed(now, 0.0) + peer_sends.decayed(now, 0.0))
             / self.serving_hosts(host.role == Role::Read);
         let host_sends = self.fleet_spending(|s| s.cold_sends(now, host.id.0));
--- a/src/logic/lease.rs
+++ b/src/logic/lease.rs
@@ -1,9 +1,9 @@
 //! Decides when the state that readers hold for one request has to be released.
 //!
 //! A reader keeps the state of a prompt until a writer's call for it arrives or it is released, and for
-//! [`Rules::pin_limit`] at most. Sending a call proves nothing, because a connection may fall silent without
-//! an error. Therefore only what a server confirms ends the wait for a release: the answer to a read, the
-//! first event of a stream or the confirmation of a release.
+//! [`crate::api::Rules::pin_limit`] at most. Sending a call proves nothing, because a connection may fall
+//! silent without an error. Therefore only what a server confirms ends the wait for a release: the answer
+//! to a read, the first event of a stream or the confirmation of a release.
 
 use crate::api::Micros;
 
@@ -179,8 +179,8 @@
     /// Records that a server confirmed the release sent at `sent_at`.
     pub fn release_confirmed(&mut self, sent_at: Micros) {
         self.released_at = Some(self.released_at.map_or(sent_at, |at| at.max(sent_at)));
-        self.release_requested_at = self.release_requested_at.filter(|&wanted| sent_at < wanted);
-        self.repeat_release_at = self.repeat_release_at.filter(|&again| sent_at < again);
+        self.release_requested_at = self.release_requested_at.filter(|&requested| sent_at < requested);
+        self.repeat_release_at = self.repeat_release_at.filter(|&due| sent_at < due);
         self.unknown_window =
             self.unknown_window.filter(|&(_, until)| self.silent_connections > 0 || sent_at < until);
         // A state for which a call is in flight is still needed.
--- a/src/logic/pairing.rs
+++ b/src/logic/pairing.rs
@@ -80,8 +80,9 @@
 
     /// Returns the estimated number of other routers' reads per reader.
     fn other_reads_per_reader(&self) -> f64 {
-        let busy = self.examine_hosts().filter(|h| h.role == Role::Read && !h.pending.is_empty()).count();
-        f64::from(self.settings.routers.max(1) - 1) * 0.5 * busy as f64 / self.serving_hosts(true)
+        let busy_readers =
+            self.examine_hosts().filter(|h| h.role == Role::Read && !h.pending.is_empty()).count();
+        f64::from(self.settings.routers.max(1) - 1) * 0.5 * busy_readers as f64 / self.serving_hosts(true)
     }
 
     /// Returns the readers for a prompt in order of preference, by weighted rendezvous hashing of its prefix,
@@ -100,8 +101,8 @@
             self.examine_hosts().filter(|h| h.role == Role::Read && eligible(h)).collect();
         let has_healthy = readers.iter().any(|h| !self.is_last_resort(now, h));
         readers.retain(|h| !has_healthy || !self.is_last_resort(now, h));
-        let zones = readers.iter().map(|h| h.zone).collect::<BTreeSet<_>>().len();
-        let max_homes = readers.len().div_ceil(READERS_PER_HOME).max(zones);
+        let zone_count = readers.iter().map(|h| h.zone).collect::<BTreeSet<_>>().len();
+        let max_homes = readers.len().div_ceil(READERS_PER_HOME).max(zone_count);
         let mut homes: Vec<_> = readers.into_iter().map(|h| (score(h, key), h)).collect();
         if homes.len() > max_homes + 1 {
             homes.select_nth_unstable_by(max_homes, by_score);
@@ -120,9 +121,10 @@
         &self, now: Micros, request: &Request, reader: Option<&Host>, ready_in: f64, is_tested: bool,
         wanted: impl Fn(&Host) -> bool,
     ) -> Option<HostId> {
-        let near = |h: &Host, from: &Host| if from.zone == h.zone { 1.0 } else { OTHER_ZONE_WEIGHT };
-        let score =
-            |h: &Host, from: &Host| if from.cell == h.cell { 1.0 } else { h.spare_weight * near(h, from) };
+        let zone_factor = |h: &Host, from: &Host| if from.zone == h.zone { 1.0 } else { OTHER_ZONE_WEIGHT };
+        let score = |h: &Host, from: &Host| {
+            if from.cell == h.cell { 1.0 } else { h.spare_weight * zone_factor(h, from) }
+        };
         let accepts = |h: &Host| {
             h.accepts(now, &request.spec, &self.settings.rules) && self.may_run_at(now, request, h.id)
         };
@@ -184,8 +186,8 @@
     /// reported.
     pub(super) fn queued_tokens_at(&self, now: Micros, host: &Host) -> f64 {
         let pending = host.pending.keys().filter_map(|id| self.requests.get(id));
-        let reads = |r: &&Request| r.stage == Stage::Reading || r.reader.is_none();
-        let own: f64 = pending.filter(reads).map(|r| r.uncached_tokens + READ_OVERHEAD_TOKENS).sum();
+        let is_read = |r: &&Request| r.stage == Stage::Reading || r.reader.is_none();
+        let own: f64 = pending.filter(is_read).map(|r| r.uncached_tokens + READ_OVERHEAD_TOKENS).sum();
         own + host.other_requests.map_or(0.0, |n| n.decayed(now, self.fleet.other_requests_per_reader))
             * (self.fleet.uncached_tokens.value + READ_OVERHEAD_TOKENS)
     }
@@ -249,8 +251,9 @@
             *(if h.role == Role::Read { &mut readers } else { &mut writers }) += 1.0;
         }
         for h in self.hosts.values_mut() {
-            let (near, at) = cells.get(&h.cell).copied().unwrap_or_default();
-            let share = (at / f64::max(writers, 1.0)) / (near / f64::max(readers, 1.0)).max(1e-9);
+            let (cell_readers, cell_writers) = cells.get(&h.cell).copied().unwrap_or_default();
+            let share =
+                (cell_writers / f64::max(writers, 1.0)) / (cell_readers / f64::max(readers, 1.0)).max(1e-9);
             (h.stay_share, h.spare_weight) =
                 (CELL_SLACK * share, (1.0 - 1.0 / share.max(1e-9)).max(MIN_SPARE_WEIGHT));
         }
