--- a/src/control/controller/handle.rs
+++ b/src/control/controller/handle.rs
@@ -12,7 +12,7 @@
 use crate::control::shared_gate::SharedGate;
 use crate::control::state::{ChangeId, Revision};
 use crate::estimate::FleetEstimates;
-use crate::replica::idempotency::{Decision, Name, Try};
+use crate::replica::idempotency::{ClaimDecision, ClaimId, RequestName};
 use crate::replica::marks::Subject;
 use crate::replica::share::Duties;
 use crate::replica::store::Report;
@@ -64,11 +64,11 @@
     /// How an instance was found.
     Report(String, Report),
     /// A named request is to be sent.
-    Claim(Name, oneshot::Sender<(Decision, Option<Try>)>),
+    Claim(RequestName, oneshot::Sender<(ClaimDecision, Option<ClaimId>)>),
     /// Nothing was sent under this claim.
-    Withdraw(Name, Try),
+    Withdraw(RequestName, ClaimId),
     /// It ran.
-    Completed(Name, Try),
+    Completed(RequestName, ClaimId),
 }
 
 /// The answer to a call.
@@ -116,22 +116,22 @@
 
     /// Claims a named request's name. Without a grant nothing may be sent. Who no longer waits for it has not sent anything, so
     /// a claim that is granted then is withdrawn.
-    pub async fn claim(&self, name: Name) -> Result<GrantedClaim, Decision> {
+    pub async fn claim(&self, name: RequestName) -> Result<GrantedClaim, ClaimDecision> {
         let (grant, granted) = oneshot::channel();
         let handle = self.clone();
         tokio::spawn(async move {
             let _ = grant.send(handle.await_claim(name).await);
         });
-        granted.await.unwrap_or(Err(Decision::Refuse))
+        granted.await.unwrap_or(Err(ClaimDecision::Refuse))
     }
 
-    async fn await_claim(self, name: Name) -> Result<GrantedClaim, Decision> {
+    async fn await_claim(self, name: RequestName) -> Result<GrantedClaim, ClaimDecision> {
         let (answer, answered) = oneshot::channel();
-        self.updates.send(StateUpdate::Claim(name, answer)).await.map_err(|_| Decision::Refuse)?;
+        self.updates.send(StateUpdate::Claim(name, answer)).await.map_err(|_| ClaimDecision::Refuse)?;
         match answered.await {
-            Ok((Decision::Send, Some(of))) => Ok(GrantedClaim::new(self, name, of, false)),
+            Ok((ClaimDecision::Send, Some(of))) => Ok(GrantedClaim::new(self, name, of, false)),
             Ok((decision, _)) => Err(decision),
-            Err(_) => Err(Decision::Refuse),
+            Err(_) => Err(ClaimDecision::Refuse),
         }
     }
 }
@@ -139,13 +139,13 @@
 /// A named request's claim that was granted: it may be sent. One that is dropped unused is withdrawn.
 pub struct GrantedClaim {
     handle: Handle,
-    name: Name,
-    of: Try,
+    name: RequestName,
+    of: ClaimId,
     used: bool,
 }
 
 impl GrantedClaim {
-    pub(super) fn new(handle: Handle, name: Name, of: Try, used: bool) -> Self {
+    pub(super) fn new(handle: Handle, name: RequestName, of: ClaimId, used: bool) -> Self {
         GrantedClaim { handle, name, of, used }
     }
 
--- a/src/control/controller/messages.rs
+++ b/src/control/controller/messages.rs
@@ -20,7 +20,7 @@
                     coordinator.refused(session);
                 }
             }
-            (LinkEvent::Up(name), _) => self.share.met(&name),
+            (LinkEvent::Up(name), _) => self.share.compare_with(&name),
             (LinkEvent::Down(name), Some(ledger)) => ledger.unreachable(&name),
             _ => {}
         }
--- a/src/control/controller/mod.rs
+++ b/src/control/controller/mod.rs
@@ -34,8 +34,8 @@
 use crate::peers::link::{LinkEvent, Links, hear};
 use crate::peers::roster::Roster;
 use crate::peers::{Heartbeat, Observed, PeerMessage};
-use crate::replica::idempotency::{Decision, Try};
-use crate::replica::share::{self, Share};
+use crate::replica::idempotency::{ClaimDecision, ClaimId};
+use crate::replica::share::{self, SharedState};
 use crate::wire::Names;
 
 /// One tick of the ledger.
@@ -74,7 +74,7 @@
 }
 
 /// Opens the store and the peers' address, and starts the thread.
-pub fn start(setup: Setup) -> Result<(Handle, mpsc::UnboundedReceiver<share::ShareEvent>), StartError> {
+pub fn start(setup: Setup) -> Result<(Handle, mpsc::UnboundedReceiver<share::SharedStateEvent>), StartError> {
     let Roster { cluster, store, me, .. } = &setup.roster;
     // The address first: that nobody else holds it proves that this conductor's older process has ended.
     let listener = std::net::TcpListener::bind(me.address).map_err(|e| StartError::Listen(me.address, e))?;
@@ -85,7 +85,7 @@
     let ledger = Ledger::open(&me.name, setup.roster.founders(), disk, loaded)?;
     let session = Session(rand::rng().random());
     let gate = Arc::new(SharedGate::new(Gate::new(session), setup.settings.clone()));
-    let (share, unfit) = Share::new(&me.name, session, setup.clock.now(), kept);
+    let (share, unfit) = SharedState::new(&me.name, session, setup.clock.now(), kept);
     if unfit > 0 {
         tracing::warn!("state: {unfit} items of the store cannot be used and are taken from others");
     }
@@ -174,10 +174,10 @@
     pending_changes: Vec<PendingChange>,
     /// The last proposals that were turned down before they came to the ledger, with what was said.
     rejected_proposals: VecDeque<(ChangeId, Reply)>,
-    share: Share,
+    share: SharedState,
     state_store: StateStore,
-    share_news: mpsc::UnboundedSender<share::ShareEvent>,
-    claims: BTreeMap<Try, oneshot::Sender<(Decision, Option<Try>)>>,
+    share_news: mpsc::UnboundedSender<share::SharedStateEvent>,
+    claims: BTreeMap<ClaimId, oneshot::Sender<(ClaimDecision, Option<ClaimId>)>>,
     /// Members that are to be removed, until when that is asked for.
     pending_removals: Vec<(String, Micros)>,
     /// Operators' decisions that wait to be agreed on, until when.
--- a/src/control/controller/operations.rs
+++ b/src/control/controller/operations.rs
@@ -57,14 +57,14 @@
             },
             Call::Remove(name) => self.remove(now, name),
             Call::Mark(subject) => {
-                if !self.share.mark(now, subject) {
+                if !self.share.add_mark(now, subject) {
                     error_reply(503, "too much is marked already")
                 } else {
                     return self.pending_marks.push((answer, now.saturating_add(CALL_WAIT)));
                 }
             }
             Call::Lift(subject) => {
-                self.share.lift(now, self.setup.clock.unix_ms(), &subject);
+                self.share.lift_mark(now, self.setup.clock.unix_ms(), &subject);
                 return self.pending_marks.push((answer, now.saturating_add(CALL_WAIT)));
             }
             Call::State => match agreed(&self.ledger, &self.observed) {
--- a/src/control/controller/reporting.rs
+++ b/src/control/controller/reporting.rs
@@ -35,7 +35,7 @@
                     |fault| tracing::error!("policy: revision {} cannot be used: {fault}", agreed.revision);
                 active.map_err(fault).ok()
             });
-        self.share.applied(now, agreed);
+        self.share.update_agreed(now, agreed);
         let name = &self.setup.roster.me.name;
         if let Some(active) = &active {
             tracing::info!("policy: revision {} is in force here", active.revision);
--- a/src/control/controller/sharing.rs
+++ b/src/control/controller/sharing.rs
@@ -7,7 +7,7 @@
 use crate::control::state::Command;
 use crate::ledger::Ledger;
 use crate::peers::PeerMessage;
-use crate::replica::idempotency::Decision;
+use crate::replica::idempotency::ClaimDecision;
 
 impl Controller {
     pub(super) fn take_update(&mut self, told: StateUpdate) {
@@ -18,22 +18,22 @@
             known.unwrap_or_default()
         };
         match told {
-            StateUpdate::Figures(learnt) => self.share.figures(now, &learnt),
-            StateUpdate::Report(instance, report) => self.share.report(now, &instance, report),
+            StateUpdate::Figures(learnt) => self.share.record_estimates(now, &learnt),
+            StateUpdate::Report(instance, report) => self.share.record_report(now, &instance, report),
             StateUpdate::Claim(name, answer) => {
                 let members = members();
-                match self.share.claim(now, name, members) {
+                match self.share.start_claim(now, name, members) {
                     Some(of) => drop(self.claims.insert(of, answer)),
-                    None => drop(answer.send((Decision::Refuse, None))),
+                    None => drop(answer.send((ClaimDecision::Refuse, None))),
                 }
             }
             StateUpdate::Withdraw(name, of) => {
                 let members = members();
-                self.share.withdraw(name, of, &members);
+                self.share.withdraw_claim(name, of, &members);
             }
             StateUpdate::Completed(name, of) => {
                 let members = members();
-                self.share.ran(now, name, of, &members);
+                self.share.complete_claim(now, name, of, &members);
             }
         }
     }
@@ -41,7 +41,7 @@
     pub(super) fn on_shared_state_message(&mut self, now: Micros, from: &str, message: PeerMessage) {
         let authority = self.ledger.as_ref().is_some_and(Ledger::leads) && self.has_authority(now);
         if let Some(agreed) = agreed(&self.ledger, &self.observed).filter(|a| a.members.contains_key(from)) {
-            self.share.hear(now, from, message, agreed, authority);
+            self.share.handle_message(now, from, message, agreed, authority);
         }
     }
 
@@ -57,11 +57,11 @@
             (None, seen) => seen.as_ref().and_then(|seen| seen.leader.as_deref()),
         };
         if let Some(ledger) = &self.ledger {
-            self.share.led(ledger.term(), leader);
-            self.share.leads(now, ledger.leads().then(|| ledger.term()), agreed);
+            self.share.record_leader(ledger.term(), leader);
+            self.share.update_leadership(now, ledger.leads().then(|| ledger.term()), agreed);
         }
         self.share.tick(now, agreed, leader, &heard);
-        if self.ledger.as_ref().is_some_and(Ledger::leads) && !self.share.agreed(agreed) {
+        if self.ledger.as_ref().is_some_and(Ledger::leads) && !self.share.are_marks_agreed(agreed) {
             let marks = self.share.marks().clone();
             self.propose(now, Command::Mark(marks));
         }
@@ -70,22 +70,22 @@
     /// Keeps what has to be kept, and only then says what follows from it.
     pub(super) fn flush_shared_state(&mut self) {
         let now = self.now();
-        let unsaved = self.share.unsaved(now);
+        let unsaved = self.share.take_unsaved(now);
         if !unsaved.is_empty()
             && let Err(fault) = self.state_store.write(&unsaved)
         {
             tracing::debug!("state: {fault}");
-            self.share.store_failed();
+            self.share.handle_store_failure();
         }
-        self.share.settle_claims(now);
-        for (of, _, decision) in self.share.decided() {
+        self.share.decide_claims(now);
+        for (of, _, decision) in self.share.take_decided_claims() {
             if let Some(answer) = self.claims.remove(&of) {
                 let _ = answer.send((decision, Some(of)));
             }
         }
         // Words to this conductor itself are heard here, and what comes of them goes out with the rest.
         for _ in 0..2 {
-            for (to, message) in self.share.outbox() {
+            for (to, message) in self.share.take_outgoing() {
                 let own = to == self.setup.roster.me.name;
                 if own {
                     self.on_shared_state_message(now, &to, message)
@@ -94,13 +94,14 @@
                 }
             }
         }
-        for news in self.share.news() {
+        for news in self.share.take_events() {
             let _ = self.share_news.send(news);
         }
         if self.pending_marks.is_empty() {
             return;
         }
-        let all = agreed(&self.ledger, &self.observed).is_some_and(|agreed| self.share.agreed(agreed));
+        let all =
+            agreed(&self.ledger, &self.observed).is_some_and(|agreed| self.share.are_marks_agreed(agreed));
         for (answer, until) in std::mem::take(&mut self.pending_marks) {
             if all || now >= until {
                 let _ = answer.send(Reply { status: 200, body: json!({ "kept": true, "agreed": all }) });
--- a/src/control/controller/tests.rs
+++ b/src/control/controller/tests.rs
@@ -1,7 +1,7 @@
 use serde_json::json;
 
 use super::*;
-use crate::replica::idempotency::Name;
+use crate::replica::idempotency::RequestName;
 
 pub(crate) type Calls = mpsc::Receiver<(Call, oneshot::Sender<Reply>)>;
 
@@ -13,7 +13,7 @@
 /// A handle without a controller: the test plays it.
 pub(crate) fn handle_and_updates() -> (Handle, Calls, mpsc::Receiver<StateUpdate>) {
     let (calls, asked) = mpsc::channel(4);
-    let (share, _) = Share::new("a", Session(1), 0, Default::default());
+    let (share, _) = SharedState::new("a", Session(1), 0, Default::default());
     let gate = Arc::new(SharedGate::new(Gate::new(Session(1)), Settings::default()));
     let (updates, told) = mpsc::channel(4);
     (Handle { calls, updates, name: "a".to_owned(), duties: share.duties(), gate }, asked, told)
@@ -40,13 +40,13 @@
 #[tokio::test(start_paused = true)]
 async fn a_claim_that_is_granted_to_nobody_is_withdrawn() {
     let (handle, _asked, mut told) = handle_and_updates();
-    let name = Name(7);
-    let of = Try { by: Session(1), n: 1 };
+    let name = RequestName(7);
+    let of = ClaimId { session: Session(1), number: 1 };
     let given_up = tokio::time::timeout(Duration::from_millis(300), handle.claim(name)).await;
     assert!(given_up.is_err(), "the ledger's thread is held up");
     let Some(StateUpdate::Claim(_, answer)) = told.recv().await else { panic!("no claim") };
-    answer.send((Decision::Send, Some(of))).expect("it is still waited for");
-    let withdrawn = |update| matches!(update, Some(StateUpdate::Withdraw(Name(7), by)) if by == of);
+    answer.send((ClaimDecision::Send, Some(of))).expect("it is still waited for");
+    let withdrawn = |update| matches!(update, Some(StateUpdate::Withdraw(RequestName(7), by)) if by == of);
     assert!(withdrawn(told.recv().await), "granted late");
 
     for used in [false, true] {
@@ -55,7 +55,7 @@
             async move { handle.claim(name).await }
         });
         let Some(StateUpdate::Claim(_, answer)) = told.recv().await else { panic!("no claim") };
-        answer.send((Decision::Send, Some(of))).expect("it is waited for");
+        answer.send((ClaimDecision::Send, Some(of))).expect("it is waited for");
         let Ok(mut claim) = claiming.await.expect("no panic") else { panic!("not granted") };
         if used {
             claim.used();
@@ -73,8 +73,8 @@
 #[tokio::test(start_paused = true)]
 async fn the_end_of_a_claim_is_told_once() {
     let (handle, _asked, mut told) = handle_and_updates();
-    let of = Try { by: Session(1), n: 1 };
-    let claim = |used| GrantedClaim::new(handle.clone(), Name(7), of, used);
+    let of = ClaimId { session: Session(1), number: 1 };
+    let claim = |used| GrantedClaim::new(handle.clone(), RequestName(7), of, used);
     for used in [false, true] {
         claim(used).completed();
         assert!(matches!(told.try_recv(), Ok(StateUpdate::Completed(..))));
--- a/src/ledger/store.rs
+++ b/src/ledger/store.rs
@@ -12,8 +12,8 @@
 
 use super::types::{Entry, Hard, Snap, decode, encode};
 use crate::control::state::Session;
-use crate::replica::idempotency::{Held, Name, Stage, Try};
-use crate::replica::share::{Kept, Unsaved};
+use crate::replica::idempotency::{ClaimId, ClaimRecord, RequestName, Stage};
+use crate::replica::share::{StoredState, UnsavedChanges};
 use crate::replica::store::Key;
 
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
@@ -244,17 +244,17 @@
 impl StateStore {
     /// What it holds. Damaged items are left out and told: others have them. A damaged name counts as one that may have
     /// run, as that is what keeping it is for.
-    pub fn load(&self) -> Result<Kept, StoreError> {
+    pub fn load(&self) -> Result<StoredState, StoreError> {
         self.read().map_err(|fault| StoreError::File(self.path.clone(), fault.to_string()))
     }
 
     #[allow(clippy::result_large_err)] // the library's own error; made ours where it goes on
-    fn read(&self) -> Result<Kept, redb::Error> {
+    fn read(&self) -> Result<StoredState, redb::Error> {
         let told = |what: &dyn std::fmt::Debug| {
             tracing::error!("state: {what:?} is damaged in the store and is taken from others");
         };
         let read = self.db.begin_read()?;
-        let mut kept = Kept::default();
+        let mut kept = StoredState::default();
         for row in read.open_table(ITEMS)?.iter()? {
             let (key, value) = row?;
             let item = decode::<Key>(key.value()).ok().zip(unsealed(value.value()));
@@ -267,22 +267,26 @@
             let (name, value) = row?;
             let unknown = || {
                 told(&name.value());
-                Held { of: Try { by: Session(0), n: 0 }, stage: Stage::MayHaveRun, at: 0 }
+                ClaimRecord {
+                    claim_id: ClaimId { session: Session(0), number: 0 },
+                    stage: Stage::MayHaveRun,
+                    last_heard_at: 0,
+                }
             };
-            kept.names.push((Name(name.value()), unsealed(value.value()).unwrap_or_else(unknown)));
+            kept.claims.push((RequestName(name.value()), unsealed(value.value()).unwrap_or_else(unknown)));
         }
         let reached = read.open_table(META)?.get("reached")?;
-        kept.reached = reached.and_then(|value| unsealed(value.value()));
+        kept.sync_progress = reached.and_then(|value| unsealed(value.value()));
         Ok(kept)
     }
 
     /// Keeps all of it or nothing; when this returns well it outlasts a crash.
-    pub fn write(&self, unsaved: &Unsaved) -> Result<(), StoreError> {
+    pub fn write(&self, unsaved: &UnsavedChanges) -> Result<(), StoreError> {
         self.change(unsaved).map_err(|fault| StoreError::File(self.path.clone(), fault.to_string()))
     }
 
     #[allow(clippy::result_large_err)] // the library's own error; made ours where it goes on
-    fn change(&self, unsaved: &Unsaved) -> Result<(), redb::Error> {
+    fn change(&self, unsaved: &UnsavedChanges) -> Result<(), redb::Error> {
         let write = self.db.begin_write()?;
         {
             let mut items = write.open_table(ITEMS)?;
@@ -293,13 +297,13 @@
                 }
             }
             let mut names = write.open_table(NAMES)?;
-            for (name, held) in &unsaved.names {
+            for (name, held) in &unsaved.claims {
                 match held {
                     Some(held) => drop(names.insert(name.0, sealed(held).as_slice())?),
                     None => drop(names.remove(name.0)?),
                 }
             }
-            if let Some(reached) = &unsaved.reached {
+            if let Some(reached) = &unsaved.sync_progress {
                 write.open_table(META)?.insert("reached", sealed(reached).as_slice())?;
             }
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -147,7 +147,7 @@
 /// The other conductors, where this one knows them: the way to what is shared with them, and news of it.
 #[cfg(feature = "cluster")]
 type Peers =
-    (controller::Handle, tokio::sync::mpsc::UnboundedReceiver<croftsill::replica::share::ShareEvent>);
+    (controller::Handle, tokio::sync::mpsc::UnboundedReceiver<croftsill::replica::share::SharedStateEvent>);
 
 /// Where conductors know one another: the gate that judges whether requests may be taken, and what is shared.
 #[cfg(feature = "cluster")]
--- a/src/node/front/chat.rs
+++ b/src/node/front/chat.rs
@@ -34,7 +34,7 @@
 use crate::node::span;
 use crate::node::upstream::attempt::Payload;
 #[cfg(feature = "cluster")]
-use crate::replica::idempotency::{Decision, NAME_MOST, Name, Stage};
+use crate::replica::idempotency::{ClaimDecision, MAX_IDEMPOTENCY_KEY_BYTES, RequestName, Stage};
 
 /// Tells clients whether to try again by themselves.
 const SHOULD_RETRY: HeaderName = HeaderName::from_static("x-should-retry");
@@ -218,23 +218,23 @@
         let (Some(handle), Some(given)) = (&self.conductors, given.filter(|_| !repeats)) else {
             return Ok(None);
         };
-        let fits = |text: &&str| (1..=NAME_MOST).contains(&text.len());
+        let fits = |text: &&str| (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&text.len());
         let text = given.to_str().ok().filter(fits);
         let text = text.ok_or_else(|| {
-            Fault::Invalid(format!("{IDEMPOTENCY_KEY}: 1 to {NAME_MOST} visible characters"))
+            Fault::Invalid(format!("{IDEMPOTENCY_KEY}: 1 to {MAX_IDEMPOTENCY_KEY_BYTES} visible characters"))
         })?;
         let scope = if let Peer::Allowed(id) = &self.peer { id } else { "" };
-        let name = Name::new(scope, text);
+        let name = RequestName::new(scope, text);
         // A disk that flushes nothing for a while holds claims up.
         let claimed = tokio::select! {
             biased;
             claimed = handle.claim(name) => claimed,
-            () = sleep(span(ask.time_left)) => Err(Decision::Refuse),
-            () = self.shutdown.due(|schedule| schedule.answers_until) => Err(Decision::Refuse),
+            () = sleep(span(ask.time_left)) => Err(ClaimDecision::Refuse),
+            () = self.shutdown.due(|schedule| schedule.answers_until) => Err(ClaimDecision::Refuse),
         };
         match claimed {
             Ok(claim) => Ok(Some(claim)),
-            Err(Decision::Known(stage)) => {
+            Err(ClaimDecision::Duplicate(stage)) => {
                 add(&self.core.counters.known_named);
                 Err(Fault::Known(stage))
             }
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -16,7 +16,7 @@
 use crate::api::{HostId, Load, Micros, Outcome};
 use crate::control::controller::{Handle, StateUpdate};
 use crate::replica::marks::{Marks, Subject};
-use crate::replica::share::ShareEvent;
+use crate::replica::share::SharedStateEvent;
 use crate::replica::store::Report;
 use crate::replica::sync::CATCH_UP_MOST;
 
@@ -66,7 +66,7 @@
 
     /// Passes on what comes and goes, for ever. `me` is this conductor's name; `drain` is told when its own mark changes.
     pub async fn run(
-        self: Rc<Self>, me: String, mut news: mpsc::UnboundedReceiver<ShareEvent>, drain: impl Fn(bool),
+        self: Rc<Self>, me: String, mut news: mpsc::UnboundedReceiver<SharedStateEvent>, drain: impl Fn(bool),
     ) {
         let mut ticks = interval(TELL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -86,11 +86,11 @@
         }
     }
 
-    async fn take(&self, me: &str, news: ShareEvent, drain: &impl Fn(bool)) {
+    async fn take(&self, me: &str, news: SharedStateEvent, drain: &impl Fn(bool)) {
         let planner = &self.fleet.core().planner;
         match news {
-            ShareEvent::Others(spent) => planner.others(spent),
-            ShareEvent::Reports(reports) => {
+            SharedStateEvent::OthersSpending(spent) => planner.others(spent),
+            SharedStateEvent::Reports(reports) => {
                 for (instance, report) in reports {
                     let Some(host) = self.fleet.known(&instance) else { continue };
                     add(&self.fleet.core().counters.reports_heard);
@@ -98,7 +98,7 @@
                     planner.probed(host, outcome, Some(report.load()).filter(|_| !report.failed));
                 }
             }
-            ShareEvent::Marks(marks, returns) => {
+            SharedStateEvent::Marks(marks, returns) => {
                 let drained = marks.since(&Subject::Conductor(me.into())).is_some();
                 *self.marks.borrow_mut() = (marks, returns);
                 self.lay_marks().await;
@@ -106,8 +106,8 @@
                     drain(drained);
                 }
             }
-            ShareEvent::Learnt(figures) => planner.adopt(figures.curves, figures.means),
-            ShareEvent::CaughtUp(well) => drop(self.caught_up.send_replace(Some(well))),
+            SharedStateEvent::Learnt(figures) => planner.adopt(figures.curves, figures.means),
+            SharedStateEvent::CaughtUp(well) => drop(self.caught_up.send_replace(Some(well))),
         }
     }
 
@@ -137,7 +137,7 @@
                 FleetOrder::Close(host) => core.upstream.pool().close_idle(host),
                 FleetOrder::Suspect(host, failures) => log_suspect(&core, host, failures),
                 FleetOrder::Probe(host) => {
-                    if !self.handle.duties.mine(|| self.clock.now(), u64::from(host.0)) {
+                    if !self.handle.duties.is_assigned(|| self.clock.now(), u64::from(host.0)) {
                         add(&core.counters.probes_left);
                         continue;
                     }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -11,8 +11,8 @@
 use crate::control::report::{Grant, Report};
 use crate::control::state::{Agreed, Command, Session};
 use crate::ledger::types::Message;
-use crate::replica::duty::{Ask, Lease};
-use crate::replica::idempotency::{Answer, Name, Try};
+use crate::replica::duty::{DutyLease, LeaseRequest};
+use crate::replica::idempotency::{ClaimAnswer, ClaimId, RequestName};
 use crate::replica::sync::Say;
 
 /// The version of what crosses a link. One that speaks a later version says to others only what theirs knows.
@@ -118,15 +118,15 @@
     /// Between two copies of shared state.
     State(Say),
     /// To the leader: may I do duties?
-    DutyAsk(Ask),
+    DutyAsk(LeaseRequest),
     /// The answer.
-    DutyLease(Lease),
+    DutyLease(DutyLease),
     /// Before a named request is sent: this name is to be this try's.
-    Claim(Name, Try),
+    Claim(RequestName, ClaimId),
     /// The answer.
-    Claimed(Try, Answer),
+    Claimed(ClaimId, ClaimAnswer),
     /// Nothing was sent under this claim, nor will be.
-    Withdraw(Name, Try),
+    Withdraw(RequestName, ClaimId),
     /// What was sent under this claim ran to its end.
-    Completed(Name, Try),
+    Completed(RequestName, ClaimId),
 }
--- a/src/replica/idempotency.rs
+++ b/src/replica/idempotency.rs
@@ -1,8 +1,9 @@
-//! Named requests that must not run twice, whichever conductors they are sent to and whichever of those die.
+//! Prevents a request with an idempotency key (a named request) from running twice, even if several conductors receive it or some
+//! of them fail.
 //!
-//! Before a named request is sent on, its conductor claims the name at a majority of the members, itself among them. Each takes the
-//! first claim that it hears of and keeps it before it says so ([`ClaimTable`]). As two majorities meet, at most one claim of a name ever
-//! has one ([`Claim`]).
+//! Before a conductor forwards a named request, it claims the name at a majority of the members, itself included. Each member
+//! grants the first claim that it receives, and stores it before it answers ([`ClaimTable`]). Any two majorities have a member in
+//! common, so at most one claim of a name obtains a majority ([`ClaimVote`]).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,218 +13,243 @@
 use crate::api::Micros;
 use crate::control::state::Session;
 
-/// For so long a name is kept after it was last heard of.
-pub const KEPT: Micros = 600_000_000;
-/// Most names kept. Past that claims are turned down: forgetting one could let it run twice.
-pub const NAMES_MOST: usize = 65_536;
-/// For a majority to say yes, before a claim is withdrawn.
-pub const CLAIM_MOST: Micros = 300_000;
-/// Longest name that a client may give, in bytes.
-pub const NAME_MOST: usize = 256;
+/// How long a claim is retained after the last message about its name.
+pub const CLAIM_RETENTION: Micros = 600_000_000;
+/// Most claims that one conductor retains. Further claims are refused, because a request whose claim was dropped could run twice.
+pub const MAX_CLAIMS: usize = 65_536;
+/// How long a claim waits for a majority before it is withdrawn.
+pub const CLAIM_TIMEOUT: Micros = 300_000;
+/// Longest idempotency key that a client may send, in bytes.
+pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 
-/// A request's name, with its scope, hashed.
+/// A request's name: the hash of its idempotency key and of the scope in which that key is unique.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Name(pub u128);
+pub struct RequestName(pub u128);
 
-impl Name {
-    /// The name that a client gave, within what tells clients apart.
-    pub fn new(scope: &str, given: &str) -> Self {
-        Name(xxh3_128(format!("{}:{scope}{given}", scope.len()).as_bytes()))
+impl RequestName {
+    /// Hashes a client's idempotency key within `scope`, which distinguishes the clients.
+    pub fn new(scope: &str, key: &str) -> Self {
+        RequestName(xxh3_128(format!("{}:{scope}{key}", scope.len()).as_bytes()))
     }
 }
 
-/// One try of a request: which process claims it, and its count there.
+/// Identifies one claim of a name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Try {
-    /// The process.
-    pub by: Session,
-    /// Its count.
-    pub n: u64,
+pub struct ClaimId {
+    /// The process that makes the claim.
+    #[serde(rename = "by")]
+    pub session: Session,
+    /// Number of the claim within that process.
+    #[serde(rename = "n")]
+    pub number: u64,
 }
 
-/// How far a claimed request has come, as far as known.
+/// How far a claimed request has progressed, as far as known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun,
-    /// It ran to its end.
+    /// The request ran to completion.
     Ran,
 }
 
-/// A claim as one conductor keeps it.
+/// A granted claim as one conductor stores it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Held {
-    /// Whose it is.
-    pub of: Try,
-    /// How far it has come.
+pub struct ClaimRecord {
+    /// The claim that holds the name.
+    #[serde(rename = "of")]
+    pub claim_id: ClaimId,
+    /// How far the claimed request has progressed.
     pub stage: Stage,
-    /// When it was last heard of, on the own clock.
-    pub at: Micros,
+    /// When the last message about the name arrived, on the local clock.
+    #[serde(rename = "at")]
+    pub last_heard_at: Micros,
 }
 
-/// What a conductor answers to a claim.
+/// A conductor's answer to a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Answer {
-    /// The name is this try's here.
-    Yes,
-    /// It is another try's, which has come so far.
-    Taken(Try, Stage),
-    /// Too many names are kept.
+pub enum ClaimAnswer {
+    /// The claim holds the name at this conductor.
+    #[serde(rename = "Yes")]
+    Granted,
+    /// Another claim holds the name; its request has reached this stage.
+    Taken(ClaimId, Stage),
+    /// The claim table is full.
     Full,
 }
 
-/// The names that one conductor keeps.
+/// The claims that one conductor has granted, by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ClaimTable {
-    held: BTreeMap<Name, Held>,
-    /// What has to be on disk before anything is answered: none for a name that goes.
-    unsaved: BTreeMap<Name, Option<Held>>,
-    tidied_at: Micros,
+    records: BTreeMap<RequestName, ClaimRecord>,
+    /// Changes that must be on disk before any answer is sent; none for a removed record.
+    unsaved: BTreeMap<RequestName, Option<ClaimRecord>>,
+    cleaned_up_at: Micros,
 }
 
 impl ClaimTable {
-    /// The names that a store held. How long ago they were heard of is not known, so their time begins anew.
-    pub fn open(now: Micros, kept: impl IntoIterator<Item = (Name, Held)>) -> Self {
-        let held = kept.into_iter().map(|(name, held)| (name, Held { at: now, ..held })).collect();
-        ClaimTable { held, unsaved: BTreeMap::new(), tidied_at: now }
+    /// Creates a table from stored records. It is not known when their names were last heard of, so their retention starts again
+    /// at `now`.
+    pub fn load(now: Micros, stored: impl IntoIterator<Item = (RequestName, ClaimRecord)>) -> Self {
+        let records = stored
+            .into_iter()
+            .map(|(name, record)| (name, ClaimRecord { last_heard_at: now, ..record }))
+            .collect();
+        ClaimTable { records, unsaved: BTreeMap::new(), cleaned_up_at: now }
     }
 
-    /// Takes a claim in. The answer may be given only after [`Self::take_unsaved`] is on disk.
-    pub fn claim(&mut self, now: Micros, name: Name, of: Try) -> Answer {
-        self.tidy(now);
-        let full = self.held.len() >= NAMES_MOST;
-        match self.held.get_mut(&name) {
-            Some(held) if held.of == of => {
-                held.at = now;
-                Answer::Yes
+    /// Handles a claim. The answer may be sent only once the changes from [`Self::take_unsaved`] are on disk.
+    pub fn claim(&mut self, now: Micros, name: RequestName, claim_id: ClaimId) -> ClaimAnswer {
+        self.remove_expired(now);
+        let is_full = self.records.len() >= MAX_CLAIMS;
+        match self.records.get_mut(&name) {
+            Some(record) if record.claim_id == claim_id => {
+                record.last_heard_at = now;
+                ClaimAnswer::Granted
             }
-            Some(held) => {
-                held.at = now;
-                Answer::Taken(held.of, held.stage)
+            Some(record) => {
+                record.last_heard_at = now;
+                ClaimAnswer::Taken(record.claim_id, record.stage)
             }
-            None if full => Answer::Full,
+            None if is_full => ClaimAnswer::Full,
             None => {
-                self.put(name, Held { of, stage: Stage::MayHaveRun, at: now });
-                Answer::Yes
+                self.insert(name, ClaimRecord { claim_id, stage: Stage::MayHaveRun, last_heard_at: now });
+                ClaimAnswer::Granted
             }
         }
     }
 
-    /// The request ran to its end.
-    pub fn ran(&mut self, now: Micros, name: Name, of: Try) {
-        if self.held.get(&name).is_none_or(|held| held.of == of) && self.held.len() < NAMES_MOST {
-            self.put(name, Held { of, stage: Stage::Ran, at: now });
+    /// Records that the request of this claim ran to completion.
+    pub fn complete(&mut self, now: Micros, name: RequestName, claim_id: ClaimId) {
+        if self.records.get(&name).is_none_or(|record| record.claim_id == claim_id)
+            && self.records.len() < MAX_CLAIMS
+        {
+            self.insert(name, ClaimRecord { claim_id, stage: Stage::Ran, last_heard_at: now });
         }
     }
 
-    /// Nothing was sent under this claim, nor will be.
-    pub fn withdraw(&mut self, name: Name, of: Try) {
-        if self.held.get(&name).is_some_and(|held| held.of == of && held.stage == Stage::MayHaveRun) {
-            self.held.remove(&name);
+    /// Removes a claim under which no request was sent or will be sent.
+    pub fn withdraw(&mut self, name: RequestName, claim_id: ClaimId) {
+        if self
+            .records
+            .get(&name)
+            .is_some_and(|record| record.claim_id == claim_id && record.stage == Stage::MayHaveRun)
+        {
+            self.records.remove(&name);
             self.unsaved.insert(name, None);
         }
     }
 
-    /// What is kept of a name.
-    pub fn get(&self, name: Name) -> Option<Held> {
-        self.held.get(&name).copied()
+    /// Returns the claim that holds this name.
+    pub fn get(&self, name: RequestName) -> Option<ClaimRecord> {
+        self.records.get(&name).copied()
     }
 
-    /// How many names are kept.
+    /// Number of names that are claimed.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.records.len()
     }
 
-    /// Whether none is.
+    /// Whether no name is claimed.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.records.is_empty()
     }
 
-    /// What has to be on disk before anything is answered.
-    pub fn take_unsaved(&mut self) -> BTreeMap<Name, Option<Held>> {
+    /// Takes the changes that must be on disk before any answer is sent; none stands for a removed record.
+    pub fn take_unsaved(&mut self) -> BTreeMap<RequestName, Option<ClaimRecord>> {
         std::mem::take(&mut self.unsaved)
     }
 
-    fn put(&mut self, name: Name, held: Held) {
-        self.held.insert(name, held);
-        self.unsaved.insert(name, Some(held));
+    fn insert(&mut self, name: RequestName, record: ClaimRecord) {
+        self.records.insert(name, record);
+        self.unsaved.insert(name, Some(record));
     }
 
-    fn tidy(&mut self, now: Micros) {
-        if now < self.tidied_at.saturating_add(KEPT / 64) && self.held.len() < NAMES_MOST {
+    fn remove_expired(&mut self, now: Micros) {
+        if now < self.cleaned_up_at.saturating_add(CLAIM_RETENTION / 64) && self.records.len() < MAX_CLAIMS {
             return;
         }
-        self.tidied_at = now;
-        let old: Vec<_> = self.held.iter().filter(|(_, held)| held.at.saturating_add(KEPT) < now).collect();
-        let old: Vec<_> = old.into_iter().map(|(name, _)| *name).collect();
-        for name in old {
-            self.held.remove(&name);
+        self.cleaned_up_at = now;
+        let expired: Vec<_> = self
+            .records
+            .iter()
+            .filter(|(_, record)| record.last_heard_at.saturating_add(CLAIM_RETENTION) < now)
+            .collect();
+        let expired: Vec<_> = expired.into_iter().map(|(name, _)| *name).collect();
+        for name in expired {
+            self.records.remove(&name);
             self.unsaved.insert(name, None);
         }
     }
 }
 
-/// What becomes of a request whose name is claimed.
+/// What to do with a request whose name is being claimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Decision {
-    /// Answers are awaited.
+pub enum ClaimDecision {
+    /// Wait for more answers.
     Wait,
-    /// The name is its own: it may be sent.
+    /// Send the request: a majority granted the claim.
     Send,
-    /// Another try has it: nothing is sent, and the client is told so.
-    Known(Stage),
-    /// There is no majority, or no room: nothing is sent, the claim is withdrawn, the client may come back.
+    /// Do not send the request and tell the client so: another claim holds the name.
+    Duplicate(Stage),
+    /// Do not send the request and withdraw the claim: no majority granted it, or there is no room. The client may retry.
     Refuse,
 }
 
-/// A claim on its way.
+/// Counts the members' answers to one claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Claim {
+pub struct ClaimVote {
     members: BTreeSet<String>,
-    yes: BTreeSet<String>,
-    no: BTreeSet<String>,
-    taken: Option<Stage>,
-    until: Micros,
+    granted_by: BTreeSet<String>,
+    refused_by: BTreeSet<String>,
+    duplicate_stage: Option<Stage>,
+    deadline: Micros,
 }
 
-impl Claim {
-    /// A claim at these members.
+impl ClaimVote {
+    /// Starts a vote among `members` that times out [`CLAIM_TIMEOUT`] after `now`.
     pub fn new(now: Micros, members: BTreeSet<String>) -> Self {
-        let (yes, no) = Default::default();
-        Claim { members, yes, no, taken: None, until: now.saturating_add(CLAIM_MOST) }
+        let (granted_by, refused_by) = Default::default();
+        ClaimVote {
+            members,
+            granted_by,
+            refused_by,
+            duplicate_stage: None,
+            deadline: now.saturating_add(CLAIM_TIMEOUT),
+        }
     }
 
-    /// Where it is claimed.
+    /// The members at which the name is claimed.
     pub fn members(&self) -> impl Iterator<Item = &String> {
         self.members.iter()
     }
 
-    /// Takes a member's answer in.
-    pub fn answered(&mut self, by: &str, answer: Answer) {
-        if !self.members.contains(by) {
+    /// Records a member's answer; an answer from any other conductor is ignored.
+    pub fn record_answer(&mut self, member: &str, answer: ClaimAnswer) {
+        if !self.members.contains(member) {
             return;
         }
         match answer {
-            Answer::Yes => drop(self.yes.insert(by.into())),
-            Answer::Taken(_, stage) => {
-                self.taken = self.taken.max(Some(stage));
-                self.no.insert(by.into());
+            ClaimAnswer::Granted => drop(self.granted_by.insert(member.into())),
+            ClaimAnswer::Taken(_, stage) => {
+                self.duplicate_stage = self.duplicate_stage.max(Some(stage));
+                self.refused_by.insert(member.into());
             }
-            Answer::Full => drop(self.no.insert(by.into())),
+            ClaimAnswer::Full => drop(self.refused_by.insert(member.into())),
         }
     }
 
-    /// What becomes of the request now. Once it is [`Decision::Send`] it stays so.
-    pub fn decide(&self, now: Micros) -> Decision {
-        let most = self.members.len() / 2 + 1;
-        if self.yes.len() >= most {
-            return Decision::Send;
+    /// Decides by the answers so far. Once the decision is [`ClaimDecision::Send`] it does not change.
+    pub fn decide(&self, now: Micros) -> ClaimDecision {
+        let majority = self.members.len() / 2 + 1;
+        if self.granted_by.len() >= majority {
+            return ClaimDecision::Send;
         }
-        // One that knows of another try settles the matter: that may have run.
-        if let Some(stage) = self.taken {
-            return Decision::Known(stage);
+        // A single member that knows of another claim is enough: that claim's request may have run.
+        if let Some(stage) = self.duplicate_stage {
+            return ClaimDecision::Duplicate(stage);
         }
-        let lost = self.no.len() > self.members.len() - most;
-        if lost || now >= self.until { Decision::Refuse } else { Decision::Wait }
+        let is_majority_lost = self.refused_by.len() > self.members.len() - majority;
+        if is_majority_lost || now >= self.deadline { ClaimDecision::Refuse } else { ClaimDecision::Wait }
     }
 }
--- a/src/replica/share.rs
+++ b/src/replica/share.rs
@@ -1,6 +1,8 @@
-//! One conductor's part in all shared state, as one object that is stepped: words and time go in, words for others and news for the
-//! serving side come out. What must be on disk before anything is said is given out by [`Share::unsaved`] and confirmed before
-//! [`Share::outbox`] is asked.
+//! One conductor's shared state as a single state machine: replicated items, operators' marks, claims of named requests and the
+//! duty lease.
+//!
+//! Messages and time go in; messages to other conductors and events for the serving side come out. A caller stores what
+//! [`SharedState::take_unsaved`] returns before it sends what [`SharedState::take_outgoing`] returns.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,8 +10,10 @@
 use serde_json::{Value as Json, json};
 
 use super::Owner;
-use super::duty::{ASK_EVERY, Ask, Holder, Keeper, Lease};
-use super::idempotency::{Answer, Claim, ClaimTable, Decision, Held, Name, Try};
+use super::duty::{DutyLease, LEASE_REQUEST_INTERVAL, LeaseHolder, LeaseIssuer, LeaseRequest};
+use super::idempotency::{
+    ClaimAnswer, ClaimDecision, ClaimId, ClaimRecord, ClaimTable, ClaimVote, RequestName,
+};
 use super::marks::{Marks, Subject};
 use super::store::{Figures, Key, Replica, Report, Spent, Value};
 use super::sync::{Reached, Say, Sync};
@@ -18,546 +22,587 @@
 use crate::estimate::{FleetEstimates, Spending};
 use crate::peers::PeerMessage;
 
-/// Between tellings of what changed: figures of spending change all the time.
-pub const TELL_EVERY: Micros = 200_000;
-/// Between tellings of what was learnt.
-const LEARN_EVERY: Micros = 5_000_000;
-/// Between writings of what may be lost without harm.
-const SAVE_EVERY: Micros = 1_000_000;
-/// Between looks for what is stale: each walks all items.
-const TIDY_EVERY: Micros = 1_000_000;
-/// Named requests that are claimed at once.
-const CLAIMS_MOST: usize = 1_024;
-/// Longest word of changed items, in bytes, about.
-const WORD: usize = 64 * 1024;
-
-/// What the serving side is told.
+/// Interval at which changed items are sent to the other conductors. It bounds the traffic, because spending changes constantly.
+pub const BROADCAST_INTERVAL: Micros = 200_000;
+/// Interval at which this conductor's learnt estimates are written to the replica.
+const ESTIMATES_INTERVAL: Micros = 5_000_000;
+/// Interval at which changed items are saved, where losing the latest changes does no harm.
+const SAVE_INTERVAL: Micros = 1_000_000;
+/// Interval at which stale items are removed; each pass visits all items.
+const CLEANUP_INTERVAL: Micros = 1_000_000;
+/// Most claims of this conductor that may be undecided at the same time.
+const MAX_PENDING_CLAIMS: usize = 1_024;
+/// Estimated size of a message of changed items, in bytes, from which on it is sent.
+const MAX_ITEMS_MESSAGE_BYTES: usize = 64 * 1024;
+/// Size assumed for each item in such a message, in bytes.
+const ESTIMATED_ITEM_BYTES: usize = 64;
+
+/// An event for the serving side.
 #[derive(Clone, Debug)]
-pub enum ShareEvent {
-    /// What all others have spent.
-    Others(Spending),
-    /// How others found instances.
+pub enum SharedStateEvent {
+    /// The combined spending of all other conductors.
+    OthersSpending(Spending),
+    /// The latest reports of other conductors on instances, by instance name.
     Reports(Vec<(String, Report)>),
-    /// What operators have marked, all of it, and returns of instances in Unix milliseconds.
+    /// All of the operators' marks, and when instances returned from maintenance, in Unix milliseconds.
     Marks(Marks, BTreeMap<String, i64>),
-    /// What the best informed has learnt; told once, when this copy is good to serve by.
+    /// The estimates of the conductor that has learnt most. Sent once, when this replica has caught up or stops waiting for it.
     Learnt(Figures),
-    /// This copy is as good as another's, or was not waited for any longer.
+    /// Whether this replica has caught up with another one (true), or the wait for that has timed out (false).
     CaughtUp(bool),
 }
 
-/// What has to be on disk.
+/// Changes that have to be written to the store.
 #[derive(Clone, Debug, Default)]
-pub struct Unsaved {
-    /// Items; none for one that goes.
+pub struct UnsavedChanges {
+    /// Changed items; none as the value of a removed one.
     pub items: Vec<(Key, Option<Value>)>,
-    /// Names of requests; none for one that goes.
-    pub names: BTreeMap<Name, Option<Held>>,
-    /// When this copy was last equal to another's, and how far it had each other's.
-    pub reached: Option<(Micros, BTreeMap<String, Reached>)>,
+    /// Changed claims by request name; none for a removed one.
+    pub claims: BTreeMap<RequestName, Option<ClaimRecord>>,
+    /// When this replica last equalled another one, and how much of each other conductor's replica it has received.
+    pub sync_progress: Option<(Micros, BTreeMap<String, Reached>)>,
 }
 
-impl Unsaved {
-    /// Whether there is nothing.
+impl UnsavedChanges {
+    /// Whether there is nothing to write.
     pub fn is_empty(&self) -> bool {
-        self.items.is_empty() && self.names.is_empty() && self.reached.is_none()
+        self.items.is_empty() && self.claims.is_empty() && self.sync_progress.is_none()
     }
 }
 
-/// What a store held.
+/// The shared state that was read from a store.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
+pub struct StoredState {
     /// Items.
     pub items: Vec<(Key, Value)>,
-    /// Names of requests.
-    pub names: Vec<(Name, Held)>,
-    /// When that copy was last equal to another's, and how far it had each other's.
-    pub reached: Option<(Micros, BTreeMap<String, Reached>)>,
+    /// Claims by request name.
+    pub claims: Vec<(RequestName, ClaimRecord)>,
+    /// When the stored replica last equalled another one, and how much of each other conductor's replica it had received.
+    pub sync_progress: Option<(Micros, BTreeMap<String, Reached>)>,
 }
 
-/// A holder that two threads look at.
+/// This conductor's duty lease, shared between the serving thread and the controller's thread.
 #[derive(Clone)]
-pub struct Duties(Arc<Mutex<Holder>>);
+pub struct Duties(Arc<Mutex<LeaseHolder>>);
 
 impl Duties {
-    fn lock(&self) -> MutexGuard<'_, Holder> {
+    fn lock(&self) -> MutexGuard<'_, LeaseHolder> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether this duty is this conductor's to do; `now` is read under the lock.
-    pub fn mine(&self, now: impl FnOnce() -> Micros, duty: u64) -> bool {
+    /// Whether `duty` is assigned to this conductor. `now` is called under the lock, so that the time is not older than the lease.
+    pub fn is_assigned(&self, now: impl FnOnce() -> Micros, duty: u64) -> bool {
         let holder = self.lock();
-        holder.mine(now(), duty)
+        holder.is_assigned(now(), duty)
     }
 }
 
-struct Pending {
-    name: Name,
-    claim: Claim,
+struct PendingClaim {
+    name: RequestName,
+    vote: ClaimVote,
 }
 
-/// See the module.
-pub struct Share {
-    me: String,
+/// One conductor's shared state.
+pub struct SharedState {
+    local_name: String,
     session: Session,
     replica: Replica,
     sync: Sync,
     duties: Duties,
-    keeper: Option<(u64, Keeper)>,
-    /// Who led in which term, as far as heard.
-    led: (u64, String),
-    asked_at: Micros,
-    told_at: Micros,
-    learnt_at: Micros,
+    /// While this conductor leads: its term, and the issuer of duty leases.
+    lease_issuer: Option<(u64, LeaseIssuer)>,
+    /// The latest known term that another conductor led, and that conductor's name.
+    last_leader: (u64, String),
+    lease_requested_at: Micros,
+    broadcast_at: Micros,
+    estimates_recorded_at: Micros,
     saved_at: Micros,
-    tidied_at: Micros,
+    cleaned_up_at: Micros,
     marks: Marks,
-    book: ClaimTable,
-    claims: BTreeMap<Try, Pending>,
-    decided: Vec<(Try, Name, Decision)>,
-    tries: u64,
-    /// Nothing can be kept any more, so nothing is promised.
-    broken: bool,
-    dirty: BTreeSet<Key>,
-    urgent: bool,
-    out: Vec<(String, PeerMessage)>,
-    news: Vec<ShareEvent>,
-    told_caught_up: bool,
-    /// The policy's revision in force and its document's digest, and who holds another document as the same revision.
-    policy: (u64, u64),
-    policy_apart: BTreeSet<String>,
+    claim_table: ClaimTable,
+    pending_claims: BTreeMap<ClaimId, PendingClaim>,
+    decided_claims: Vec<(ClaimId, RequestName, ClaimDecision)>,
+    /// Number of claims started by this process.
+    claim_count: u64,
+    /// Whether a write to the store has failed. From then on no claim is granted.
+    has_store_failed: bool,
+    /// Lasting items that have changed since they were last saved.
+    unsaved_keys: BTreeSet<Key>,
+    /// Whether the next call of [`Self::take_unsaved`] returns changed items without waiting for [`SAVE_INTERVAL`].
+    saves_immediately: bool,
+    outgoing: Vec<(String, PeerMessage)>,
+    events: Vec<SharedStateEvent>,
+    is_caught_up_reported: bool,
+    /// The revision of the policy in force, and its document's digest.
+    policy_version: (u64, u64),
+    /// Conductors that hold a different document for the same policy revision.
+    policy_conflicts: BTreeSet<String>,
 }
 
-impl Share {
-    /// The part of a process that started now, with what its store held. What could not be taken in is counted.
-    pub fn new(name: &str, session: Session, now: Micros, kept: Kept) -> (Self, usize) {
+impl SharedState {
+    /// Creates the shared state of a process that starts at `now`, from what its store held. Also returns the number of stored
+    /// items that were rejected.
+    pub fn new(name: &str, session: Session, now: Micros, stored: StoredState) -> (Self, usize) {
         let mut replica = Replica::new(name, now);
         let mut sync = Sync::new(name, now);
-        let (equal_at, had) = kept.reached.unwrap_or((now, BTreeMap::new()));
-        let unfit = replica.load(now, (equal_at, kept.items));
-        sync.load(had);
+        let (equal_at, received) = stored.sync_progress.unwrap_or((now, BTreeMap::new()));
+        let rejected = replica.load(now, (equal_at, stored.items));
+        sync.load(received);
         let marks = replica.marks();
-        let share = Share {
-            me: name.into(),
+        let shared_state = SharedState {
+            local_name: name.into(),
             session,
             replica,
             sync,
-            duties: Duties(Arc::new(Mutex::new(Holder::new(session)))),
-            keeper: None,
-            led: (0, String::new()),
-            asked_at: Micros::MIN / 2,
-            told_at: Micros::MIN / 2,
-            learnt_at: Micros::MIN / 2,
+            duties: Duties(Arc::new(Mutex::new(LeaseHolder::new(session)))),
+            lease_issuer: None,
+            last_leader: (0, String::new()),
+            lease_requested_at: Micros::MIN / 2,
+            broadcast_at: Micros::MIN / 2,
+            estimates_recorded_at: Micros::MIN / 2,
             saved_at: now,
-            tidied_at: Micros::MIN / 2,
+            cleaned_up_at: Micros::MIN / 2,
             marks,
-            book: ClaimTable::open(now, kept.names),
-            claims: BTreeMap::new(),
-            decided: Vec::new(),
-            tries: 0,
-            broken: false,
-            dirty: BTreeSet::new(),
-            urgent: false,
-            out: Vec::new(),
-            news: Vec::new(),
-            told_caught_up: false,
-            policy: (0, 0),
-            policy_apart: BTreeSet::new(),
+            claim_table: ClaimTable::load(now, stored.claims),
+            pending_claims: BTreeMap::new(),
+            decided_claims: Vec::new(),
+            claim_count: 0,
+            has_store_failed: false,
+            unsaved_keys: BTreeSet::new(),
+            saves_immediately: false,
+            outgoing: Vec::new(),
+            events: Vec::new(),
+            is_caught_up_reported: false,
+            policy_version: (0, 0),
+            policy_conflicts: BTreeSet::new(),
         };
-        (share, unfit)
+        (shared_state, rejected)
     }
 
-    /// The duties, for the serving side.
+    /// Returns a handle to the duty lease, for the serving side.
     pub fn duties(&self) -> Duties {
         self.duties.clone()
     }
 
-    // ---- From the serving side ----
+    // ---- Input from the serving side ----
 
-    /// What the module has spent and learnt.
-    pub fn figures(&mut self, now: Micros, all: &FleetEstimates) {
-        self.replica.spent(now, Spent::of(now, &all.spending()));
-        if now >= self.learnt_at.saturating_add(LEARN_EVERY) {
-            self.learnt_at = now;
-            self.replica.learnt(now, Figures::of(all));
+    /// Records what this conductor's decision module has spent, and from time to time what it has learnt.
+    pub fn record_estimates(&mut self, now: Micros, estimates: &FleetEstimates) {
+        self.replica.spent(now, Spent::of(now, &estimates.spending()));
+        if now >= self.estimates_recorded_at.saturating_add(ESTIMATES_INTERVAL) {
+            self.estimates_recorded_at = now;
+            self.replica.learnt(now, Figures::of(estimates));
         }
     }
 
-    /// How an instance was found.
-    pub fn report(&mut self, now: Micros, instance: &str, report: Report) {
+    /// Records this conductor's latest report on an instance.
+    pub fn record_report(&mut self, now: Micros, instance: &str, report: Report) {
         self.replica.report(now, instance, report);
     }
 
-    /// An operator marks something. False where there is no room.
-    pub fn mark(&mut self, now: Micros, subject: Subject) -> bool {
-        // Also where it is marked: a lift that is under way elsewhere has not seen this one.
-        let done = self.marks.set(self.session, subject, now).is_some();
-        if done {
-            self.decreed(now);
+    /// Adds an operator's mark. Returns false if there is no room for it.
+    pub fn add_mark(&mut self, now: Micros, subject: Subject) -> bool {
+        // Set anew even if the subject is marked already: a concurrent lift elsewhere has not seen this mark and leaves it.
+        let is_added = self.marks.set(self.session, subject, now).is_some();
+        if is_added {
+            self.publish_marks(now);
         }
-        done
+        is_added
     }
 
-    /// An operator lifts a mark.
-    pub fn lift(&mut self, now: Micros, now_ms: i64, subject: &Subject) {
+    /// Lifts the operators' marks on a subject. `now_ms` is the Unix time in milliseconds at which an instance returns.
+    pub fn lift_mark(&mut self, now: Micros, now_ms: i64, subject: &Subject) {
         if self.marks.lift(subject).is_some() {
             if let Subject::Instance(name) = subject {
                 self.replica.returned(now, name, Some(now_ms));
             }
-            self.decreed(now);
+            self.publish_marks(now);
         }
     }
 
-    fn decreed(&mut self, now: Micros) {
+    fn publish_marks(&mut self, now: Micros) {
         self.replica.marked(now, self.marks.clone());
-        self.urgent = true;
-        // What operators decided goes out with the next tick, not with the next round of figures.
-        self.told_at = now.saturating_sub(TELL_EVERY);
-        self.tell_marks();
+        self.saves_immediately = true;
+        // Operators' changes are sent with the next tick instead of after the broadcast interval.
+        self.broadcast_at = now.saturating_sub(BROADCAST_INTERVAL);
+        self.emit_marks();
     }
 
     /// Whether the ledger has all marks and lifts that this conductor has.
-    pub fn agreed(&self, agreed: &Agreed) -> bool {
+    pub fn are_marks_agreed(&self, agreed: &Agreed) -> bool {
         self.marks.within(&agreed.marks)
     }
 
-    /// All marks, for the ledger.
+    /// Returns all marks, to be proposed to the ledger.
     pub fn marks(&self) -> &Marks {
         &self.marks
     }
 
-    /// Claims the name of a request. None where too many are claimed at once.
-    pub fn claim(&mut self, now: Micros, name: Name, members: BTreeSet<String>) -> Option<Try> {
-        if self.claims.len() >= CLAIMS_MOST {
+    /// Starts a claim of a request's name at `members`. Returns none if too many claims are pending.
+    pub fn start_claim(
+        &mut self, now: Micros, name: RequestName, members: BTreeSet<String>,
+    ) -> Option<ClaimId> {
+        if self.pending_claims.len() >= MAX_PENDING_CLAIMS {
             return None;
         }
-        self.tries += 1;
-        let of = Try { by: self.session, n: self.tries };
-        let mut claim = Claim::new(now, members.clone());
-        let own = if self.broken { Answer::Full } else { self.book.claim(now, name, of) };
-        claim.answered(&self.me, own);
-        for to in members.into_iter().filter(|to| *to != self.me) {
-            self.out.push((to, PeerMessage::Claim(name, of)));
+        self.claim_count += 1;
+        let claim_id = ClaimId { session: self.session, number: self.claim_count };
+        let mut vote = ClaimVote::new(now, members.clone());
+        let own_answer = if self.has_store_failed {
+            ClaimAnswer::Full
+        } else {
+            self.claim_table.claim(now, name, claim_id)
+        };
+        vote.record_answer(&self.local_name, own_answer);
+        for member in members.into_iter().filter(|member| *member != self.local_name) {
+            self.outgoing.push((member, PeerMessage::Claim(name, claim_id)));
         }
-        self.claims.insert(of, Pending { name, claim });
-        Some(of)
+        self.pending_claims.insert(claim_id, PendingClaim { name, vote });
+        Some(claim_id)
     }
 
-    /// Nothing was sent under a claim that was granted.
-    pub fn withdraw(&mut self, name: Name, of: Try, members: &BTreeSet<String>) {
-        self.book.withdraw(name, of);
-        let others = members.iter().filter(|to| **to != self.me);
-        self.out.extend(others.map(|to| (to.clone(), PeerMessage::Withdraw(name, of))));
+    /// Withdraws a granted claim under which no request was sent.
+    pub fn withdraw_claim(&mut self, name: RequestName, claim_id: ClaimId, members: &BTreeSet<String>) {
+        self.claim_table.withdraw(name, claim_id);
+        let others = members.iter().filter(|member| **member != self.local_name);
+        self.outgoing.extend(others.map(|member| (member.clone(), PeerMessage::Withdraw(name, claim_id))));
     }
 
-    /// A request that was sent under its claim ran to its end.
-    pub fn ran(&mut self, now: Micros, name: Name, of: Try, members: &BTreeSet<String>) {
-        self.book.ran(now, name, of);
-        let others = members.iter().filter(|to| **to != self.me);
-        self.out.extend(others.map(|to| (to.clone(), PeerMessage::Completed(name, of))));
+    /// Records that the request sent under a claim ran to completion.
+    pub fn complete_claim(
+        &mut self, now: Micros, name: RequestName, claim_id: ClaimId, members: &BTreeSet<String>,
+    ) {
+        self.claim_table.complete(now, name, claim_id);
+        let others = members.iter().filter(|member| **member != self.local_name);
+        self.outgoing.extend(others.map(|member| (member.clone(), PeerMessage::Completed(name, claim_id))));
     }
 
-    /// Claims that have come to an end.
-    pub fn decided(&mut self) -> Vec<(Try, Name, Decision)> {
-        std::mem::take(&mut self.decided)
+    /// Takes the claims that have been decided since the last call.
+    pub fn take_decided_claims(&mut self) -> Vec<(ClaimId, RequestName, ClaimDecision)> {
+        std::mem::take(&mut self.decided_claims)
     }
 
-    // ---- From others ----
+    // ---- Input from other conductors ----
 
-    /// A word of another conductor. `authority`: this one leads, and a majority knew it as its leader lately.
-    pub fn hear(&mut self, now: Micros, from: &str, word: PeerMessage, agreed: &Agreed, authority: bool) {
-        match word {
+    /// Handles a message from another conductor. `has_authority` says whether this conductor leads and a majority has recently
+    /// acknowledged it as leader.
+    pub fn handle_message(
+        &mut self, now: Micros, from: &str, message: PeerMessage, agreed: &Agreed, has_authority: bool,
+    ) {
+        match message {
             PeerMessage::State(Say::Policy(revision, digest)) => {
-                if (revision, digest) == self.policy {
-                    self.policy_apart.remove(from);
-                } else if revision == self.policy.0 && self.policy_apart.insert(from.to_owned()) {
-                    // No copy is chosen: the ledger's majority holds the right one, and operators say whose store is not.
-                    tracing::error!("state: {from} has another document as the policy's revision {revision}");
+                if (revision, digest) == self.policy_version {
+                    self.policy_conflicts.remove(from);
+                } else if revision == self.policy_version.0 && self.policy_conflicts.insert(from.to_owned()) {
+                    // Neither document is preferred here. The majority of the ledger holds the right one, and an operator
+                    // decides which conductor's store is wrong.
+                    tracing::error!(
+                        "state: {from} has a different document for revision {revision} of the policy"
+                    );
                 }
             }
             PeerMessage::State(say) => {
-                let (out, news) = self.sync.hear(now, &mut self.replica, from, agreed.members.len(), say);
-                self.out.extend(out.into_iter().map(|(to, say)| (to, PeerMessage::State(say))));
-                self.merged(now, news);
+                let (replies, news) = self.sync.hear(now, &mut self.replica, from, agreed.members.len(), say);
+                self.outgoing.extend(replies.into_iter().map(|(to, say)| (to, PeerMessage::State(say))));
+                self.handle_merged_items(now, news);
             }
-            PeerMessage::DutyAsk(ask) => {
-                let lease = self.keep(now, ask, agreed, authority);
-                self.out.extend(lease.map(|lease| (from.to_owned(), PeerMessage::DutyLease(lease))));
+            PeerMessage::DutyAsk(request) => {
+                let lease = self.handle_lease_request(now, request, agreed, has_authority);
+                self.outgoing.extend(lease.map(|lease| (from.to_owned(), PeerMessage::DutyLease(lease))));
             }
-            PeerMessage::DutyLease(lease) => self.duties.lock().granted(&lease),
-            PeerMessage::Claim(name, of) => {
-                // What cannot be kept is not said.
-                let answer = if self.broken { Answer::Full } else { self.book.claim(now, name, of) };
-                self.out.push((from.to_owned(), PeerMessage::Claimed(of, answer)));
+            PeerMessage::DutyLease(lease) => self.duties.lock().accept(&lease),
+            PeerMessage::Claim(name, claim_id) => {
+                // A claim that cannot be stored must not be granted.
+                let answer = if self.has_store_failed {
+                    ClaimAnswer::Full
+                } else {
+                    self.claim_table.claim(now, name, claim_id)
+                };
+                self.outgoing.push((from.to_owned(), PeerMessage::Claimed(claim_id, answer)));
             }
-            PeerMessage::Claimed(of, answer) => {
-                if let Some(pending) = self.claims.get_mut(&of) {
-                    pending.claim.answered(from, answer);
+            PeerMessage::Claimed(claim_id, answer) => {
+                if let Some(pending) = self.pending_claims.get_mut(&claim_id) {
+                    pending.vote.record_answer(from, answer);
                 }
             }
-            PeerMessage::Withdraw(name, of) => self.book.withdraw(name, of),
-            PeerMessage::Completed(name, of) => self.book.ran(now, name, of),
+            PeerMessage::Withdraw(name, claim_id) => self.claim_table.withdraw(name, claim_id),
+            PeerMessage::Completed(name, claim_id) => self.claim_table.complete(now, name, claim_id),
             _ => {}
         }
     }
 
-    /// The way to this conductor is there again: the two copies are compared at once, not when its turn comes.
-    pub fn met(&mut self, name: &str) {
-        let say = self.sync.root(&self.replica, name);
-        self.out.push((name.to_owned(), PeerMessage::State(say)));
+    /// Compares replicas with a conductor whose link has just been established, without waiting for its turn.
+    pub fn compare_with(&mut self, peer: &str) {
+        let say = self.sync.root(&self.replica, peer);
+        self.outgoing.push((peer.to_owned(), PeerMessage::State(say)));
     }
 
-    fn keep(&mut self, now: Micros, ask: Ask, agreed: &Agreed, authority: bool) -> Option<Lease> {
+    fn handle_lease_request(
+        &mut self, now: Micros, request: LeaseRequest, agreed: &Agreed, has_authority: bool,
+    ) -> Option<DutyLease> {
         let registered = agreed.sessions.values().copied().collect();
-        let (_, keeper) = self.keeper.as_mut()?;
-        keeper.ask(now, ask, &registered, authority)
+        let (_, issuer) = self.lease_issuer.as_mut()?;
+        issuer.handle_request(now, request, &registered, has_authority)
     }
 
-    fn merged(&mut self, now: Micros, news: Vec<Key>) {
-        if news.is_empty() {
+    fn handle_merged_items(&mut self, now: Micros, changed_keys: Vec<Key>) {
+        if changed_keys.is_empty() {
             return;
         }
         let mut reports = Vec::new();
-        let mut marks = false;
-        for key in news {
+        let mut have_marks_changed = false;
+        for key in changed_keys {
             match (&key, self.replica.get(&key)) {
-                (Key::Report(instance), Some(Value::Report(held))) => {
-                    reports.extend(held.value.map(|report| (instance.clone(), report)));
+                (Key::Report(instance), Some(Value::Report(register))) => {
+                    reports.extend(register.value.map(|report| (instance.clone(), report)));
                 }
-                (Key::Marks | Key::Return(_), _) => marks = true,
+                (Key::Marks | Key::Return(_), _) => have_marks_changed = true,
                 _ => {}
             }
             if key.lasts() {
-                self.dirty.insert(key);
+                self.unsaved_keys.insert(key);
             }
         }
-        if marks {
-            self.settle_marks(now);
+        if have_marks_changed {
+            self.merge_replica_marks(now);
         }
         if !reports.is_empty() {
-            self.news.push(ShareEvent::Reports(reports));
+            self.events.push(SharedStateEvent::Reports(reports));
         }
     }
 
-    /// Brings the marks of the copy, of the ledger and of here to the same.
-    fn settle_marks(&mut self, now: Micros) {
+    /// Merges the replica's marks into this conductor's, and writes the result back to the replica if it differs.
+    fn merge_replica_marks(&mut self, now: Micros) {
         self.marks.merge(&self.replica.marks());
         if self.replica.marks() != self.marks {
             self.replica.marked(now, self.marks.clone());
         }
-        self.dirty.insert(Key::Marks);
-        self.urgent = true;
-        self.tell_marks();
+        self.unsaved_keys.insert(Key::Marks);
+        self.saves_immediately = true;
+        self.emit_marks();
     }
 
-    fn tell_marks(&mut self) {
+    fn emit_marks(&mut self) {
         let returns = self.replica.all().filter_map(|(key, value)| match (key, value) {
-            (Key::Return(name), Value::Return(held)) => Some((name.clone(), held.value?)),
+            (Key::Return(name), Value::Return(register)) => Some((name.clone(), register.value?)),
             _ => None,
         });
-        self.news.push(ShareEvent::Marks(self.marks.clone(), returns.collect()));
+        self.events.push(SharedStateEvent::Marks(self.marks.clone(), returns.collect()));
     }
 
-    // ---- Time ----
+    // ---- Ledger and time ----
 
-    /// What is agreed on has moved.
-    pub fn applied(&mut self, now: Micros, agreed: &Agreed) {
-        if agreed.revision != self.policy.0 {
+    /// Takes in a change of the state agreed on in the ledger: the policy in force and the operators' marks.
+    pub fn update_agreed(&mut self, now: Micros, agreed: &Agreed) {
+        if agreed.revision != self.policy_version.0 {
             let digest = agreed
                 .documents
                 .get(&agreed.revision)
                 .map_or(0, |document| crate::estimate::name_hash(document));
-            self.policy = (agreed.revision, digest);
-            self.policy_apart.clear();
+            self.policy_version = (agreed.revision, digest);
+            self.policy_conflicts.clear();
         }
         if !agreed.marks.within(&self.marks) {
             self.marks.merge(&agreed.marks);
-            self.settle_marks(now);
+            self.merge_replica_marks(now);
         }
     }
 
-    /// This conductor leads in this term, or does not.
-    pub fn leads(&mut self, now: Micros, term: Option<u64>, agreed: &Agreed) {
-        match (term, &self.keeper) {
-            (Some(term), Some((of, _))) if *of == term => {}
-            (Some(term), _) => self.keeper = Some((term, Keeper::new(term, now))),
-            (None, _) => self.keeper = None,
+    /// Updates the lease issuer. `term` is the term in which this conductor leads, or none if it does not lead.
+    pub fn update_leadership(&mut self, now: Micros, term: Option<u64>, agreed: &Agreed) {
+        match (term, &self.lease_issuer) {
+            (Some(term), Some((issuer_term, _))) if *issuer_term == term => {}
+            (Some(term), _) => self.lease_issuer = Some((term, LeaseIssuer::new(term, now))),
+            (None, _) => self.lease_issuer = None,
         }
-        if let Some((term, keeper)) = &mut self.keeper {
-            // The one that led just before has ended, by the ledger's word, and nobody led between.
-            if self.led.0 + 1 == *term && !agreed.sessions.contains_key(&self.led.1) && self.led.1 != self.me
+        if let Some((term, issuer)) = &mut self.lease_issuer {
+            // The leader of the preceding term has ended, because the ledger no longer lists its session, and no other
+            // conductor led in between.
+            if self.last_leader.0 + 1 == *term
+                && !agreed.sessions.contains_key(&self.last_leader.1)
+                && self.last_leader.1 != self.local_name
             {
-                keeper.predecessor_ended(now);
-                self.led.1.clone_from(&self.me);
+                issuer.predecessor_ended(now);
+                self.last_leader.1.clone_from(&self.local_name);
             }
-            keeper.turn(now, &agreed.sessions.values().copied().collect());
+            issuer.advance(now, &agreed.sessions.values().copied().collect());
         }
     }
 
-    /// Who leads in which term.
-    pub fn led(&mut self, term: u64, leader: Option<&str>) {
-        if let Some(leader) = leader.filter(|leader| *leader != self.me && term > self.led.0) {
-            self.led = (term, leader.into());
+    /// Records which conductor leads in `term`, as far as known.
+    pub fn record_leader(&mut self, term: u64, leader: Option<&str>) {
+        if let Some(leader) = leader.filter(|leader| *leader != self.local_name && term > self.last_leader.0)
+        {
+            self.last_leader = (term, leader.into());
         }
     }
 
-    /// Time has passed. `heard` are others that are registered and heard.
-    pub fn tick(&mut self, now: Micros, agreed: &Agreed, leader: Option<&str>, heard: &[&str]) {
-        if now >= self.tidied_at.saturating_add(TIDY_EVERY) {
-            self.tidied_at = now;
+    /// Does what is due at `now`. `reachable_peers` are the other conductors that are registered and heard from.
+    pub fn tick(&mut self, now: Micros, agreed: &Agreed, leader: Option<&str>, reachable_peers: &[&str]) {
+        if now >= self.cleaned_up_at.saturating_add(CLEANUP_INTERVAL) {
+            self.cleaned_up_at = now;
             self.replica.tidy(now);
         }
-        if agreed.sessions.get(&self.me) == Some(&self.session)
-            && now >= self.asked_at.saturating_add(ASK_EVERY)
+        if agreed.sessions.get(&self.local_name) == Some(&self.session)
+            && now >= self.lease_requested_at.saturating_add(LEASE_REQUEST_INTERVAL)
         {
-            self.asked_at = now;
-            let ask = self.duties.lock().ask(now);
+            self.lease_requested_at = now;
+            let request = self.duties.lock().lease_request(now);
             match leader {
-                Some(leader) if leader == self.me => {
-                    // Its own word counts like another's, and needs a majority's as much.
-                    self.out.push((self.me.clone(), PeerMessage::DutyAsk(ask)));
+                Some(leader) if leader == self.local_name => {
+                    // The leader's own request is handled like any other: it is granted only with a majority's support.
+                    self.outgoing.push((self.local_name.clone(), PeerMessage::DutyAsk(request)));
                 }
-                Some(leader) => self.out.push((leader.to_owned(), PeerMessage::DutyAsk(ask))),
+                Some(leader) => self.outgoing.push((leader.to_owned(), PeerMessage::DutyAsk(request))),
                 None => {}
             }
         }
-        let apart_since = self.replica.equal_at();
-        if !heard.is_empty() && self.replica.forget_if_old(now) {
+        let last_equal_at = self.replica.equal_at();
+        if !reachable_peers.is_empty() && self.replica.forget_if_old(now) {
             tracing::warn!(
-                "state: this copy was apart for longer than deletion marks are kept, and is taken anew"
+                "state: this replica was out of contact for longer than tombstones are retained; replacing it"
             );
             self.sync.forget();
-            self.marks = self.marks.renewed(&agreed.marks, self.session, apart_since, now);
+            self.marks = self.marks.renewed(&agreed.marks, self.session, last_equal_at, now);
             self.replica.marked(now, self.marks.clone());
             self.replica.equal(now);
-            self.urgent = true;
+            self.saves_immediately = true;
         }
-        let said = self.sync.due(now, &mut self.replica, heard);
-        for (to, say) in said {
-            if matches!(say, Say::Root(..)) && self.policy.0 > 0 {
-                self.out.push((to.clone(), PeerMessage::State(Say::Policy(self.policy.0, self.policy.1))));
+        let sync_messages = self.sync.due(now, &mut self.replica, reachable_peers);
+        for (to, say) in sync_messages {
+            if matches!(say, Say::Root(..)) && self.policy_version.0 > 0 {
+                self.outgoing.push((
+                    to.clone(),
+                    PeerMessage::State(Say::Policy(self.policy_version.0, self.policy_version.1)),
+                ));
             }
-            self.out.push((to, PeerMessage::State(say)));
+            self.outgoing.push((to, PeerMessage::State(say)));
         }
-        if let Some(well) = self.sync.caught_up().filter(|_| !self.told_caught_up) {
-            self.told_caught_up = true;
-            self.tell_marks();
-            self.news.extend(self.replica.best_learnt().map(ShareEvent::Learnt));
-            self.news.push(ShareEvent::CaughtUp(well));
+        if let Some(is_caught_up) = self.sync.caught_up().filter(|_| !self.is_caught_up_reported) {
+            self.is_caught_up_reported = true;
+            self.emit_marks();
+            self.events.extend(self.replica.best_learnt().map(SharedStateEvent::Learnt));
+            self.events.push(SharedStateEvent::CaughtUp(is_caught_up));
         }
-        if now >= self.told_at.saturating_add(TELL_EVERY) {
-            self.news.push(ShareEvent::Others(self.replica.others(now)));
-            let told: Vec<_> = heard.iter().map(|name| (*name).to_owned()).collect();
-            self.tell_to(now, &told);
+        if now >= self.broadcast_at.saturating_add(BROADCAST_INTERVAL) {
+            self.events.push(SharedStateEvent::OthersSpending(self.replica.others(now)));
+            let receivers: Vec<_> = reachable_peers.iter().map(|name| (*name).to_owned()).collect();
+            self.broadcast_changes(now, &receivers);
         }
     }
 
-    /// Claims may have come to an end, now that what they need is on disk.
-    pub fn settle_claims(&mut self, now: Micros) {
-        let ended: Vec<_> =
-            self.claims.iter().map(|(of, pending)| (*of, pending.claim.decide(now))).collect();
-        ended.into_iter().for_each(|(of, decision)| self.decide(of, decision));
+    /// Decides pending claims by the answers so far. Call it once what [`Self::take_unsaved`] returned is on disk.
+    pub fn decide_claims(&mut self, now: Micros) {
+        let decisions: Vec<_> = self
+            .pending_claims
+            .iter()
+            .map(|(claim_id, pending)| (*claim_id, pending.vote.decide(now)))
+            .collect();
+        decisions.into_iter().for_each(|(claim_id, decision)| self.finish_claim(claim_id, decision));
     }
 
-    fn decide(&mut self, of: Try, decision: Decision) {
-        if decision == Decision::Wait {
+    fn finish_claim(&mut self, claim_id: ClaimId, decision: ClaimDecision) {
+        if decision == ClaimDecision::Wait {
             return;
         }
-        let Some(pending) = self.claims.remove(&of) else { return };
-        if decision != Decision::Send {
-            self.book.withdraw(pending.name, of);
-            let others = pending.claim.members().filter(|to| **to != self.me);
-            self.out.extend(others.map(|to| (to.clone(), PeerMessage::Withdraw(pending.name, of))));
+        let Some(pending) = self.pending_claims.remove(&claim_id) else { return };
+        if decision != ClaimDecision::Send {
+            self.claim_table.withdraw(pending.name, claim_id);
+            let others = pending.vote.members().filter(|member| **member != self.local_name);
+            self.outgoing
+                .extend(others.map(|member| (member.clone(), PeerMessage::Withdraw(pending.name, claim_id))));
         }
-        self.decided.push((of, pending.name, decision));
+        self.decided_claims.push((claim_id, pending.name, decision));
     }
 
-    /// Tells these what has changed here.
-    fn tell_to(&mut self, now: Micros, heard: &[String]) {
-        self.told_at = now;
+    /// Sends the items that have changed here to `receivers`.
+    fn broadcast_changes(&mut self, now: Micros, receivers: &[String]) {
+        self.broadcast_at = now;
         let changed = self.replica.take_changed();
-        self.dirty.extend(changed.iter().map(|(key, _)| key.clone()).filter(Key::lasts));
-        let mut word = Vec::new();
-        let mut bytes = 0;
-        let mut say = |word: &mut Vec<(Key, Value)>| {
-            let items = std::mem::take(word);
-            self.out
-                .extend(heard.iter().map(|to| (to.clone(), PeerMessage::State(Say::Items(items.clone())))));
+        self.unsaved_keys.extend(changed.iter().map(|(key, _)| key.clone()).filter(Key::lasts));
+        let mut batch = Vec::new();
+        let mut batch_bytes = 0;
+        let mut send_batch = |batch: &mut Vec<(Key, Value)>| {
+            let items = std::mem::take(batch);
+            self.outgoing.extend(
+                receivers.iter().map(|to| (to.clone(), PeerMessage::State(Say::Items(items.clone())))),
+            );
         };
         for item in changed {
-            bytes += 64;
-            word.push(item);
-            if bytes >= WORD {
-                say(&mut word);
-                bytes = 0;
+            batch_bytes += ESTIMATED_ITEM_BYTES;
+            batch.push(item);
+            if batch_bytes >= MAX_ITEMS_MESSAGE_BYTES {
+                send_batch(&mut batch);
+                batch_bytes = 0;
             }
         }
-        if !word.is_empty() {
-            say(&mut word);
+        if !batch.is_empty() {
+            send_batch(&mut batch);
         }
     }
 
-    // ---- Out ----
+    // ---- Output ----
 
-    /// What has to be on disk before anything else goes out.
-    pub fn unsaved(&mut self, now: Micros) -> Unsaved {
-        let mut unsaved = Unsaved { names: self.book.take_unsaved(), ..Unsaved::default() };
-        if self.urgent || now >= self.saved_at.saturating_add(SAVE_EVERY) {
-            (self.urgent, self.saved_at) = (false, now);
-            let mut dirty = std::mem::take(&mut self.dirty);
-            dirty.extend(self.replica.take_dropped());
+    /// Takes the changes that must be on disk before any outgoing message is sent.
+    pub fn take_unsaved(&mut self, now: Micros) -> UnsavedChanges {
+        let mut unsaved =
+            UnsavedChanges { claims: self.claim_table.take_unsaved(), ..UnsavedChanges::default() };
+        if self.saves_immediately || now >= self.saved_at.saturating_add(SAVE_INTERVAL) {
+            (self.saves_immediately, self.saved_at) = (false, now);
+            let mut keys = std::mem::take(&mut self.unsaved_keys);
+            keys.extend(self.replica.take_dropped());
             unsaved.items =
-                dirty.into_iter().map(|key| (key.clone(), self.replica.get(&key).cloned())).collect();
+                keys.into_iter().map(|key| (key.clone(), self.replica.get(&key).cloned())).collect();
             if !unsaved.items.is_empty() {
-                unsaved.reached = Some((self.replica.equal_at(), self.sync.had().clone()));
+                unsaved.sync_progress = Some((self.replica.equal_at(), self.sync.had().clone()));
             }
         }
         unsaved
     }
 
-    /// Nothing can be kept any more: what was to be promised is not.
-    pub fn store_failed(&mut self) {
-        if !std::mem::replace(&mut self.broken, true) {
-            tracing::error!("state: nothing can be kept any more; named requests are refused");
+    /// Handles a failed write to the store. Grants that have not been sent become refusals, and pending claims are refused.
+    pub fn handle_store_failure(&mut self) {
+        if !std::mem::replace(&mut self.has_store_failed, true) {
+            tracing::error!("state: the store cannot be written; refusing named requests");
         }
-        for (_, word) in &mut self.out {
-            if let PeerMessage::Claimed(_, answer @ Answer::Yes) = word {
-                *answer = Answer::Full;
+        for (_, message) in &mut self.outgoing {
+            if let PeerMessage::Claimed(_, answer @ ClaimAnswer::Granted) = message {
+                *answer = ClaimAnswer::Full;
             }
         }
-        let tries: Vec<_> = self.claims.keys().copied().collect();
-        tries.into_iter().for_each(|of| self.decide(of, Decision::Refuse));
+        let claim_ids: Vec<_> = self.pending_claims.keys().copied().collect();
+        claim_ids.into_iter().for_each(|claim_id| self.finish_claim(claim_id, ClaimDecision::Refuse));
     }
 
-    /// What is to be sent, and to whom; to this conductor itself as well.
-    pub fn outbox(&mut self) -> Vec<(String, PeerMessage)> {
-        std::mem::take(&mut self.out)
+    /// Takes the messages to be sent, each with its receiver. A receiver can be this conductor itself.
+    pub fn take_outgoing(&mut self) -> Vec<(String, PeerMessage)> {
+        std::mem::take(&mut self.outgoing)
     }
 
-    /// News for the serving side.
-    pub fn news(&mut self) -> Vec<ShareEvent> {
-        std::mem::take(&mut self.news)
+    /// Takes the events for the serving side.
+    pub fn take_events(&mut self) -> Vec<SharedStateEvent> {
+        std::mem::take(&mut self.events)
     }
 
     // ---- For operators ----
 
-    /// Where all stands.
+    /// Returns the status of the shared state, as operators see it.
     pub fn status(&self, now: Micros, agreed: &Agreed) -> Json {
         let counts = self.sync.counts;
         let items = self.replica.all().count();
-        let marked = |(subject, at): (&Subject, Micros)| match subject {
-            Subject::Instance(name) => json!({ "instance": name, "since_ms": at / 1_000 }),
-            Subject::Conductor(name) => json!({ "conductor": name, "since_ms": at / 1_000 }),
+        let mark_json = |(subject, marked_at): (&Subject, Micros)| match subject {
+            Subject::Instance(name) => json!({ "instance": name, "since_ms": marked_at / 1_000 }),
+            Subject::Conductor(name) => json!({ "conductor": name, "since_ms": marked_at / 1_000 }),
         };
         json!({
             "root": format!("{:016x}", self.replica.root()),
             "items": items,
             "caught_up": self.sync.caught_up(),
             "lag_ms": (now - self.replica.equal_at()).max(0) / 1_000,
-            "marks_agreed": self.agreed(agreed),
-            "marks": self.marks.all().map(marked).collect::<Vec<_>>(),
-            "named_requests": self.book.len(),
-            "duties": if self.duties.lock().leased(now) { "leased" } else { "none" },
+            "marks_agreed": self.are_marks_agreed(agreed),
+            "marks": self.marks.all().map(mark_json).collect::<Vec<_>>(),
+            "named_requests": self.claim_table.len(),
+            "duties": if self.duties.lock().has_lease(now) { "leased" } else { "none" },
             "set_aside": self.set_aside(),
             "counters": {
                 "equal": counts.equal, "different": counts.different, "taken": counts.taken,
@@ -567,51 +612,54 @@
         })
     }
 
+    /// Lists what is set aside because conductors hold different content for the same version.
     fn set_aside(&self) -> Vec<String> {
         let items = self.replica.apart().map(|key| format!("{key:?}"));
-        let policies = self.policy_apart.iter().map(|name| format!("the policy's document at {name}"));
+        let policies = self.policy_conflicts.iter().map(|name| format!("the policy's document at {name}"));
         items.chain(policies).collect()
     }
 
-    /// All that lasts: as operators read it, and in the bytes that `import` takes, which keep each figure to the last digit.
+    /// Exports all lasting items: each as JSON for operators to read, and as the encoded bytes that [`Self::import`] reads, since
+    /// these preserve every figure exactly.
     pub fn export(&self) -> Json {
-        let item = |(key, value): (Key, Value)| {
+        let item_json = |(key, value): (Key, Value)| {
             let bytes = postcard::to_allocvec(&(&key, &value)).unwrap_or_default();
             let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-            let shown = serde_json::to_value(&value).unwrap_or_default();
-            json!({ "key": format!("{key:?}"), "value": shown, "bytes": hex })
+            let readable_value = serde_json::to_value(&value).unwrap_or_default();
+            json!({ "key": format!("{key:?}"), "value": readable_value, "bytes": hex })
         };
-        json!({ "form": 1, "items": self.replica.lasting().1.into_iter().map(item).collect::<Vec<_>>() })
+        json!({ "form": 1, "items": self.replica.lasting().1.into_iter().map(item_json).collect::<Vec<_>>() })
     }
 
-    /// Takes an export in, by the same rules as another's copy. How many items were taken, were known, were turned down.
+    /// Imports an export, by the same rules as items from another replica. Returns how many items were taken, were known already,
+    /// and were rejected.
     pub fn import(&mut self, now: Micros, export: &Json) -> Result<(usize, usize, usize), String> {
         if export["form"] != 1 {
             return Err(format!("form: must be 1, and is {}", export["form"]));
         }
         let items = export["items"].as_array().ok_or("items: is missing")?;
-        let (mut taken, mut known, mut not, mut news) = (0, 0, 0, Vec::new());
+        let (mut taken, mut known, mut rejected, mut taken_keys) = (0, 0, 0, Vec::new());
         for item in items {
-            let read = item["bytes"].as_str().and_then(bytes_of);
-            let read = read.and_then(|bytes| postcard::from_bytes::<(Key, Value)>(&bytes).ok());
-            match read
-                .map(|(key, value)| (self.replica.merge(now, Owner::of(&self.me), key.clone(), value), key))
-            {
+            let bytes = item["bytes"].as_str().and_then(parse_hex);
+            let decoded = bytes.and_then(|bytes| postcard::from_bytes::<(Key, Value)>(&bytes).ok());
+            match decoded.map(|(key, value)| {
+                (self.replica.merge(now, Owner::of(&self.local_name), key.clone(), value), key)
+            }) {
                 Some((Ok(true), key)) => {
                     taken += 1;
-                    news.push(key);
+                    taken_keys.push(key);
                 }
                 Some((Ok(false), _)) => known += 1,
-                _ => not += 1,
+                _ => rejected += 1,
             }
         }
-        self.merged(now, news);
-        Ok((taken, known, not))
+        self.handle_merged_items(now, taken_keys);
+        Ok((taken, known, rejected))
     }
 }
 
-/// Bytes from their hexadecimal digits.
-fn bytes_of(hex: &str) -> Option<Vec<u8>> {
+/// Decodes hexadecimal digits; none if they are not valid.
+fn parse_hex(hex: &str) -> Option<Vec<u8>> {
     let digits = hex.as_bytes().chunks(2);
     digits.map(|pair| u8::from_str_radix(std::str::from_utf8(pair).ok()?, 16).ok()).collect()
 }
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -378,8 +378,8 @@
 /// Shared state in the same store: what was kept comes back; a damaged item is left out, a damaged name is not forgotten.
 #[test]
 fn a_shelf_keeps_items_and_names_and_tells_damaged_ones_apart() {
-    use croftsill::replica::idempotency::{Held, Name, Stage, Try};
-    use croftsill::replica::share::Unsaved;
+    use croftsill::replica::idempotency::{ClaimId, ClaimRecord, RequestName, Stage};
+    use croftsill::replica::share::UnsavedChanges;
     use croftsill::replica::store::{Key, Replica};
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("ledger.redb");
@@ -387,16 +387,22 @@
     replica.returned(1_000, "w1", Some(1));
     replica.returned(1_000, "w2", Some(2));
     let items: Vec<_> = replica.lasting().1.into_iter().map(|(key, value)| (key, Some(value))).collect();
-    let held = Held { of: Try { by: Session(3), n: 4 }, stage: Stage::Ran, at: 5 };
-    let names = [(Name(1), Some(held)), (Name(2), Some(held))].into();
+    let held = ClaimRecord {
+        claim_id: ClaimId { session: Session(3), number: 4 },
+        stage: Stage::Ran,
+        last_heard_at: 5,
+    };
+    let names = [(RequestName(1), Some(held)), (RequestName(2), Some(held))].into();
     let reached = Some((7, [("b".to_owned(), (8, 9))].into()));
     let (disk, _) = disk(&path, "c").expect("a store");
     let state = disk.state();
-    state.write(&Unsaved { items, names, reached: reached.clone() }).expect("it is kept");
+    state
+        .write(&UnsavedChanges { items, claims: names, sync_progress: reached.clone() })
+        .expect("it is kept");
     let kept = state.load().expect("it is read");
-    assert_eq!((kept.items.len(), kept.names.len(), &kept.reached), (2, 2, &reached));
-    let gone = [(Name(2), None)].into();
-    state.write(&Unsaved { names: gone, ..Unsaved::default() }).expect("it is kept");
+    assert_eq!((kept.items.len(), kept.claims.len(), &kept.sync_progress), (2, 2, &reached));
+    let gone = [(RequestName(2), None)].into();
+    state.write(&UnsavedChanges { claims: gone, ..UnsavedChanges::default() }).expect("it is kept");
     drop((disk, state));
     use redb::ReadableTable as _;
     // A bit of one item and of one name is turned, each behind its checksum.
@@ -418,8 +424,8 @@
     let (disk, _) = self::disk(&path, "c").expect("a store");
     let kept = disk.state().load().expect("it is read");
     assert_eq!(kept.items.iter().map(|(key, _)| key.clone()).collect::<Vec<_>>(), [Key::Return("w1".into())]);
-    assert_eq!(kept.names.len(), 1, "a name that was given up is gone");
-    assert_eq!((kept.names[0].0, kept.names[0].1.stage), (Name(1), Stage::MayHaveRun));
+    assert_eq!(kept.claims.len(), 1, "a name that was given up is gone");
+    assert_eq!((kept.claims[0].0, kept.claims[0].1.stage), (RequestName(1), Stage::MayHaveRun));
 }
 
 /// What the version before kept is read: the same without operators' marks.
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -9,10 +9,11 @@
 use croftsill::peers::PeerMessage;
 use croftsill::replica::clock::{AHEAD_MOST, Hybrid, Stamp};
 use croftsill::replica::idempotency::{
-    Answer, ClaimTable, Decision, Held, KEPT, NAMES_MOST, Name, Stage, Try,
+    CLAIM_RETENTION, ClaimAnswer, ClaimDecision, ClaimId, ClaimRecord, ClaimTable, MAX_CLAIMS, RequestName,
+    Stage,
 };
 use croftsill::replica::marks::{Dot, Marks, Subject};
-use croftsill::replica::share::{Kept, Share};
+use croftsill::replica::share::{SharedState, StoredState};
 use croftsill::replica::store::{FRESH, Figures, Key, Lww, Owned, Replica, Report, Spent, Unfit, Value};
 use croftsill::replica::sync::{CATCH_UP_MOST, SOURCE_MOST, Say, Sync};
 use croftsill::replica::{HORIZON, Owner};
@@ -658,14 +659,14 @@
 /// Two documents under one revision are told, and neither is chosen.
 #[test]
 fn another_document_as_the_same_revision_is_told() {
-    let (mut share, _) = Share::new("a", Session(1), NOW, Kept::default());
+    let (mut share, _) = SharedState::new("a", Session(1), NOW, StoredState::default());
     let document = "x".to_owned();
     let agreed =
         Agreed { revision: 3, documents: BTreeMap::from([(3, document.clone())]), ..Agreed::default() };
-    share.applied(NOW, &agreed);
+    share.update_agreed(NOW, &agreed);
     let digest = croftsill::estimate::name_hash(&document);
     let mut hear = |say| {
-        share.hear(NOW, "b", PeerMessage::State(say), &agreed, false);
+        share.handle_message(NOW, "b", PeerMessage::State(say), &agreed, false);
         share.status(NOW, &agreed)["set_aside"].as_array().map_or(0, Vec::len)
     };
     assert_eq!((hear(Say::Policy(3, digest)), hear(Say::Policy(2, 9))), (0, 0), "the same, and an older one");
@@ -676,18 +677,19 @@
 #[test]
 fn a_full_disk_refuses_named_requests_and_says_yes_to_no_claim() {
     let members = || BTreeSet::from(["a".to_owned(), "b".to_owned()]);
-    let (mut share, _) = Share::new("a", Session(1), NOW, Kept::default());
+    let (mut share, _) = SharedState::new("a", Session(1), NOW, StoredState::default());
     let agreed = Agreed::default();
-    let of = share.claim(NOW, Name(1), members()).expect("room");
-    share.hear(NOW, "b", PeerMessage::Claim(Name(2), attempt(9, 1)), &agreed, false);
-    assert!(!share.unsaved(NOW).names.is_empty());
-    share.store_failed();
-    let yes = |(_, word): &(String, PeerMessage)| matches!(word, PeerMessage::Claimed(_, Answer::Yes));
-    assert!(!share.outbox().iter().any(yes), "a claim was granted that is not on disk");
-    assert_eq!(share.decided(), [(of, Name(1), Decision::Refuse)]);
-    let of = share.claim(NOW, Name(3), members()).expect("room");
-    share.settle_claims(NOW);
-    assert_eq!(share.decided(), [(of, Name(3), Decision::Refuse)]);
+    let of = share.start_claim(NOW, RequestName(1), members()).expect("room");
+    share.handle_message(NOW, "b", PeerMessage::Claim(RequestName(2), attempt(9, 1)), &agreed, false);
+    assert!(!share.take_unsaved(NOW).claims.is_empty());
+    share.handle_store_failure();
+    let yes =
+        |(_, word): &(String, PeerMessage)| matches!(word, PeerMessage::Claimed(_, ClaimAnswer::Granted));
+    assert!(!share.take_outgoing().iter().any(yes), "a claim was granted that is not on disk");
+    assert_eq!(share.take_decided_claims(), [(of, RequestName(1), ClaimDecision::Refuse)]);
+    let of = share.start_claim(NOW, RequestName(3), members()).expect("room");
+    share.decide_claims(NOW);
+    assert_eq!(share.take_decided_claims(), [(of, RequestName(3), ClaimDecision::Refuse)]);
 }
 
 /// Marks that came back from too long ago go by the ledger's word, but for those that nobody else can have seen.
@@ -713,54 +715,57 @@
     old.returned(NOW, "w1", Some(5));
     let (_, items) = old.lasting();
     let later = NOW + 2 * HORIZON;
-    let kept = Kept { items, names: Vec::new(), reached: Some((NOW, BTreeMap::new())) };
-    let (mut share, unfit) = Share::new("a", Session(1), later, kept);
+    let kept = StoredState { items, claims: Vec::new(), sync_progress: Some((NOW, BTreeMap::new())) };
+    let (mut share, unfit) = SharedState::new("a", Session(1), later, kept);
     assert_eq!(unfit, 0);
     share.tick(later + S, &Agreed::default(), None, &["b"]);
-    let unsaved = share.unsaved(later + S);
+    let unsaved = share.take_unsaved(later + S);
     assert!(unsaved.items.contains(&(Key::Return("w1".into()), None)), "{unsaved:?}");
 }
 
 // ---- Named requests ----
 
-fn attempt(by: u64, n: u64) -> Try {
-    Try { by: Session(by), n }
+fn attempt(by: u64, n: u64) -> ClaimId {
+    ClaimId { session: Session(by), number: n }
 }
 
 #[test]
 fn a_name_is_the_first_claim_s_and_is_kept_before_anything_is_said() {
     let mut book = ClaimTable::default();
-    let name = Name::new("club", "order-1");
-    assert_ne!(name, Name::new("clu", "border-1"));
-    assert_eq!(book.claim(NOW, name, attempt(1, 1)), Answer::Yes);
+    let name = RequestName::new("club", "order-1");
+    assert_ne!(name, RequestName::new("clu", "border-1"));
+    assert_eq!(book.claim(NOW, name, attempt(1, 1)), ClaimAnswer::Granted);
     assert_eq!(book.take_unsaved().len(), 1);
-    assert_eq!(book.claim(NOW, name, attempt(1, 1)), Answer::Yes, "the same word twice");
-    assert_eq!(book.claim(NOW, name, attempt(2, 1)), Answer::Taken(attempt(1, 1), Stage::MayHaveRun));
+    assert_eq!(book.claim(NOW, name, attempt(1, 1)), ClaimAnswer::Granted, "the same word twice");
+    assert_eq!(book.claim(NOW, name, attempt(2, 1)), ClaimAnswer::Taken(attempt(1, 1), Stage::MayHaveRun));
     book.withdraw(name, attempt(2, 1));
-    assert_eq!(book.claim(NOW, name, attempt(3, 1)), Answer::Taken(attempt(1, 1), Stage::MayHaveRun));
-    book.ran(NOW, name, attempt(1, 1));
+    assert_eq!(book.claim(NOW, name, attempt(3, 1)), ClaimAnswer::Taken(attempt(1, 1), Stage::MayHaveRun));
+    book.complete(NOW, name, attempt(1, 1));
     book.withdraw(name, attempt(1, 1));
     assert_eq!(
         book.claim(NOW, name, attempt(3, 1)),
-        Answer::Taken(attempt(1, 1), Stage::Ran),
+        ClaimAnswer::Taken(attempt(1, 1), Stage::Ran),
         "what ran stays known"
     );
     let kept: Vec<_> =
         book.take_unsaved().into_iter().filter_map(|(name, held)| Some((name, held?))).collect();
-    let mut back = ClaimTable::open(NOW + 5 * KEPT, kept);
-    assert_eq!(back.claim(NOW + 5 * KEPT, name, attempt(4, 1)), Answer::Taken(attempt(1, 1), Stage::Ran));
+    let mut back = ClaimTable::load(NOW + 5 * CLAIM_RETENTION, kept);
+    assert_eq!(
+        back.claim(NOW + 5 * CLAIM_RETENTION, name, attempt(4, 1)),
+        ClaimAnswer::Taken(attempt(1, 1), Stage::Ran)
+    );
 }
 
 #[test]
 fn a_flood_of_names_is_turned_down_and_none_is_forgotten_before_its_time() {
-    let name = |n: usize| Name(n as u128);
-    let held = |n: u64| Held { of: attempt(1, n), stage: Stage::Ran, at: NOW };
-    let mut book = ClaimTable::open(NOW, (0..NAMES_MOST).map(|n| (name(n), held(n as u64))));
-    assert_eq!(book.claim(NOW + S, name(NAMES_MOST), attempt(2, 1)), Answer::Full);
-    assert!(matches!(book.claim(NOW + S, name(3), attempt(2, 1)), Answer::Taken(_, Stage::Ran)));
+    let name = |n: usize| RequestName(n as u128);
+    let held = |n: u64| ClaimRecord { claim_id: attempt(1, n), stage: Stage::Ran, last_heard_at: NOW };
+    let mut book = ClaimTable::load(NOW, (0..MAX_CLAIMS).map(|n| (name(n), held(n as u64))));
+    assert_eq!(book.claim(NOW + S, name(MAX_CLAIMS), attempt(2, 1)), ClaimAnswer::Full);
+    assert!(matches!(book.claim(NOW + S, name(3), attempt(2, 1)), ClaimAnswer::Taken(_, Stage::Ran)));
     assert_eq!(
-        book.claim(NOW + KEPT + S, name(NAMES_MOST), attempt(2, 1)),
-        Answer::Yes,
+        book.claim(NOW + CLAIM_RETENTION + S, name(MAX_CLAIMS), attempt(2, 1)),
+        ClaimAnswer::Granted,
         "after its time there is room"
     );
     // What was asked for once more is kept for longer.
--- a/tests/state_model.rs
+++ b/tests/state_model.rs
@@ -7,9 +7,10 @@
 use croftsill::api::Micros;
 use croftsill::control::AUTHORITY;
 use croftsill::control::state::Session;
-use croftsill::replica::duty::{Holder, Keeper, Lease};
+use croftsill::replica::duty::{DutyLease, LeaseHolder, LeaseIssuer};
 use croftsill::replica::idempotency::{
-    Answer, CLAIM_MOST, Claim, ClaimTable, Decision, Held, Name, Stage, Try,
+    CLAIM_TIMEOUT, ClaimAnswer, ClaimDecision, ClaimId, ClaimRecord, ClaimTable, ClaimVote, RequestName,
+    Stage,
 };
 use stateright::{Checker, Model, Property};
 
@@ -43,13 +44,13 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct DutyWorld {
-    holders: Vec<Option<Holder>>,
+    holders: Vec<Option<LeaseHolder>>,
     /// The leader, and before it one that may not know yet that it leads no more.
-    keeper: Keeper,
-    old: Option<(Keeper, i64)>,
+    keeper: LeaseIssuer,
+    old: Option<(LeaseIssuer, i64)>,
     registered: BTreeSet<Session>,
     /// On their way, one to each.
-    leases: BTreeMap<Session, Lease>,
+    leases: BTreeMap<Session, DutyLease>,
     step: i64,
     elections: usize,
     deaths: usize,
@@ -82,12 +83,13 @@
     type Action = DutyAct;
 
     fn init_states(&self) -> Vec<DutyWorld> {
-        let holders: Vec<_> = (0..self.holders as usize).map(|n| Some(Holder::new(session(n)))).collect();
+        let holders: Vec<_> =
+            (0..self.holders as usize).map(|n| Some(LeaseHolder::new(session(n)))).collect();
         // The first leader has led for long.
         vec![DutyWorld {
             registered: BTreeSet::from([session(0)]),
             holders,
-            keeper: Keeper::new(1, 0),
+            keeper: LeaseIssuer::new(1, 0),
             old: None,
             leases: BTreeMap::new(),
             step: 0,
@@ -130,25 +132,25 @@
         match act {
             DutyAct::Pass => w.step += 1,
             DutyAct::Ask(n, by_old, late) => {
-                let mut ask = w.holders[n].as_ref()?.ask(now);
+                let mut ask = w.holders[n].as_ref()?.lease_request(now);
                 if self.defect == Some(DutyDefect::OneStep) {
-                    ask.knows = (u64::MAX, u64::MAX);
+                    ask.known_version = (u64::MAX, u64::MAX);
                 }
                 let lease = if by_old {
                     let (keeper, lost_at) = w.old.as_mut()?;
                     // Nobody of the majority that elected the new one has echoed it since.
                     let authority = now <= *lost_at + AUTHORITY;
-                    keeper.ask(now, ask, &w.registered, authority)
+                    keeper.handle_request(now, ask, &w.registered, authority)
                 } else {
                     if self.defect == Some(DutyDefect::Impatient) {
-                        w.keeper.turn(now, &BTreeSet::from([ask.session]));
+                        w.keeper.advance(now, &BTreeSet::from([ask.session]));
                     }
-                    w.keeper.ask(now, ask, &w.registered, true)
+                    w.keeper.handle_request(now, ask, &w.registered, true)
                 }?;
                 if late {
                     w.leases.insert(lease.session, lease);
                 } else {
-                    w.holders[n].as_mut()?.granted(&lease);
+                    w.holders[n].as_mut()?.accept(&lease);
                 }
             }
             DutyAct::Register(n) => drop(w.registered.insert(session(n))),
@@ -156,13 +158,13 @@
             DutyAct::Strike(n) => drop(w.registered.remove(&session(n))),
             DutyAct::Elect => {
                 let elected = if self.defect == Some(DutyDefect::AtOnce) { 0 } else { now };
-                let new = Keeper::new(w.elections as u64 + 2, elected);
+                let new = LeaseIssuer::new(w.elections as u64 + 2, elected);
                 w.old = Some((std::mem::replace(&mut w.keeper, new), now));
                 w.elections += 1;
             }
             DutyAct::Take(to) => {
                 let lease = w.leases.remove(&to)?;
-                w.holders[(to.0 - 1) as usize].as_mut()?.granted(&lease);
+                w.holders[(to.0 - 1) as usize].as_mut()?.accept(&lease);
             }
         }
         (w != *before).then_some(w)
@@ -174,13 +176,16 @@
                 let now = model.now(w);
                 DUTIES
                     .iter()
-                    .all(|duty| w.holders.iter().flatten().filter(|h| h.mine(now, *duty)).count() <= 1)
+                    .all(|duty| w.holders.iter().flatten().filter(|h| h.is_assigned(now, *duty)).count() <= 1)
             }),
             Property::sometimes("a duty is done", |model: &Duties, w: &DutyWorld| {
-                w.holders.iter().flatten().any(|h| DUTIES.iter().any(|duty| h.mine(model.now(w), *duty)))
+                w.holders
+                    .iter()
+                    .flatten()
+                    .any(|h| DUTIES.iter().any(|duty| h.is_assigned(model.now(w), *duty)))
             }),
             Property::sometimes("duties are shared by two", |model: &Duties, w: &DutyWorld| {
-                let busy = |h: &&Holder| DUTIES.iter().any(|duty| h.mine(model.now(w), *duty));
+                let busy = |h: &&LeaseHolder| DUTIES.iter().any(|duty| h.is_assigned(model.now(w), *duty));
                 w.holders.iter().flatten().filter(busy).count() == 2
             }),
         ]
@@ -245,17 +250,17 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Said {
-    Claim(Try),
-    Answer(Try, Answer),
-    Withdraw(Try),
+    Claim(ClaimId),
+    Answer(ClaimId, ClaimAnswer),
+    Withdraw(ClaimId),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Peer {
     book: ClaimTable,
-    disk: BTreeMap<Name, Held>,
+    disk: BTreeMap<RequestName, ClaimRecord>,
     /// The claim that it has on its way, and its try.
-    claim: Option<(Claim, Try)>,
+    claim: Option<(ClaimVote, ClaimId)>,
     tries: u64,
 }
 
@@ -264,7 +269,7 @@
     peers: Vec<Peer>,
     /// Sender, receiver, word.
     net: BTreeSet<(usize, usize, Said)>,
-    sent: Vec<Try>,
+    sent: Vec<ClaimId>,
     restarts: usize,
 }
 
@@ -278,7 +283,7 @@
     Restart(usize),
 }
 
-const NAME: Name = Name(7);
+const NAME: RequestName = RequestName(7);
 
 fn names() -> BTreeSet<String> {
     ["0", "1", "2"].map(str::to_owned).into()
@@ -301,23 +306,23 @@
     fn settle(&self, w: &mut ClaimWorld, n: usize, now: Micros) {
         let Some((claim, of)) = w.peers[n].claim.clone() else { return };
         let mut decision = claim.decide(now);
-        if self.defect == Some(ClaimDefect::Half) && decision == Decision::Refuse {
-            decision = Decision::Send;
+        if self.defect == Some(ClaimDefect::Half) && decision == ClaimDecision::Refuse {
+            decision = ClaimDecision::Send;
         }
         match decision {
-            Decision::Wait => return,
-            Decision::Send => {
+            ClaimDecision::Wait => return,
+            ClaimDecision::Send => {
                 w.sent.push(of);
                 if self.defect == Some(ClaimDefect::WithdrawSent) {
                     self.withdraw(w, n, of);
                 }
             }
-            Decision::Known(_) | Decision::Refuse => self.withdraw(w, n, of),
+            ClaimDecision::Duplicate(_) | ClaimDecision::Refuse => self.withdraw(w, n, of),
         }
         w.peers[n].claim = None;
     }
 
-    fn withdraw(&self, w: &mut ClaimWorld, n: usize, of: Try) {
+    fn withdraw(&self, w: &mut ClaimWorld, n: usize, of: ClaimId) {
         w.peers[n].book.withdraw(NAME, of);
         self.save(&mut w.peers[n]);
         (0..3).filter(|to| *to != n).for_each(|to| {
@@ -362,9 +367,9 @@
             ClaimAct::Ask(n) => {
                 let peer = &mut w.peers[n];
                 peer.tries += 1;
-                let of = Try { by: Session(n as u64 * 10 + w.restarts as u64), n: peer.tries };
-                let mut claim = Claim::new(0, names());
-                claim.answered(&n.to_string(), peer.book.claim(0, NAME, of));
+                let of = ClaimId { session: Session(n as u64 * 10 + w.restarts as u64), number: peer.tries };
+                let mut claim = ClaimVote::new(0, names());
+                claim.record_answer(&n.to_string(), peer.book.claim(0, NAME, of));
                 self.save(peer);
                 peer.claim = Some((claim, of));
                 (0..3).filter(|to| *to != n).for_each(|to| {
@@ -382,7 +387,7 @@
                     }
                     Said::Answer(of, answer) => {
                         if let Some((claim, _)) = w.peers[to].claim.as_mut().filter(|(_, mine)| *mine == of) {
-                            claim.answered(&from.to_string(), answer);
+                            claim.record_answer(&from.to_string(), answer);
                         }
                         self.settle(&mut w, to, 0);
                     }
@@ -393,10 +398,10 @@
                 }
             }
             ClaimAct::Lose(from, to, said) => drop(w.net.remove(&(from, to, said))),
-            ClaimAct::TimeOut(n) => self.settle(&mut w, n, CLAIM_MOST),
+            ClaimAct::TimeOut(n) => self.settle(&mut w, n, CLAIM_TIMEOUT),
             ClaimAct::Restart(n) => {
                 let peer = &mut w.peers[n];
-                peer.book = ClaimTable::open(0, peer.disk.clone());
+                peer.book = ClaimTable::load(0, peer.disk.clone());
                 peer.claim = None;
                 w.restarts += 1;
             }
@@ -409,14 +414,14 @@
             Property::always("a named request is sent once", |_, w: &ClaimWorld| w.sent.len() <= 1),
             Property::sometimes("it is sent", |_, w: &ClaimWorld| w.sent.len() == 1),
             Property::sometimes("after a withdrawn claim it is sent", |_, w: &ClaimWorld| {
-                w.sent.first().is_some_and(|of| of.n == 2)
+                w.sent.first().is_some_and(|of| of.number == 2)
             }),
             Property::always("what was sent is known to a majority", |_, w: &ClaimWorld| {
-                let holds = |of: &Try| {
+                let holds = |of: &ClaimId| {
                     let knows = |p: &&Peer| {
                         p.disk
                             .get(&NAME)
-                            .is_some_and(|held| held.of == *of && held.stage == Stage::MayHaveRun)
+                            .is_some_and(|held| held.claim_id == *of && held.stage == Stage::MayHaveRun)
                     };
                     w.peers.iter().filter(knows).count() >= 2
                 };
--- a/tests/store_faults.rs
+++ b/tests/store_faults.rs
@@ -10,8 +10,8 @@
 use croftsill::control::state::Session;
 use croftsill::ledger::store::{Batch, Disk, Loaded, Stable, StoreError};
 use croftsill::ledger::types::{Entry, Hard};
-use croftsill::replica::idempotency::{Held, Name, Stage, Try};
-use croftsill::replica::share::Unsaved;
+use croftsill::replica::idempotency::{ClaimId, ClaimRecord, RequestName, Stage};
+use croftsill::replica::share::UnsavedChanges;
 use redb::StorageBackend;
 use rustix::io::Errno;
 
@@ -154,9 +154,16 @@
     Entry { conf: false, term: 1, index, command: vec![index as u8; 100] }
 }
 
-fn named(number: u64) -> Unsaved {
-    let held = Held { of: Try { by: Session(1), n: number }, stage: Stage::Ran, at: 0 };
-    Unsaved { names: BTreeMap::from([(Name(number.into()), Some(held))]), ..Unsaved::default() }
+fn named(number: u64) -> UnsavedChanges {
+    let held = ClaimRecord {
+        claim_id: ClaimId { session: Session(1), number },
+        stage: Stage::Ran,
+        last_heard_at: 0,
+    };
+    UnsavedChanges {
+        claims: BTreeMap::from([(RequestName(number.into()), Some(held))]),
+        ..UnsavedChanges::default()
+    }
 }
 
 /// What of the batches was acknowledged.
@@ -190,7 +197,7 @@
     assert!(entries.starts_with(&acknowledged.entries), "{case}: {entries:?} of {acknowledged:?}");
     assert!(entries.len() <= acknowledged.entries.len() + 1, "{case}: {entries:?} of {acknowledged:?}");
     loaded.entries.iter().for_each(|kept| assert_eq!(kept, &entry(kept.index), "{case}"));
-    let names = disk.state().load().expect("it is read").names;
+    let names = disk.state().load().expect("it is read").claims;
     let names: Vec<_> = names.iter().map(|(name, _)| name.0 as u64).collect();
     assert!(names.starts_with(&acknowledged.names), "{case}: {names:?} of {acknowledged:?}");
     assert!(names.len() <= acknowledged.names.len() + 1, "{case}: {names:?} of {acknowledged:?}");
