--- a/src/main.rs
+++ b/src/main.rs
@@ -21,10 +21,10 @@
 use croftsill::node::front::operator::{self, Operator};
 use croftsill::node::front::platform::PlatformFront;
 use croftsill::node::front::serve;
-use croftsill::node::list::discovery::Directory;
+use croftsill::node::list::discovery::DiscoveryClient;
 use croftsill::node::list::fleet::Fleet;
 use croftsill::node::list::membership::Membership;
-use croftsill::node::list::pace::Pace;
+use croftsill::node::list::pace::CallSchedule;
 use croftsill::node::planner::Planner;
 use croftsill::node::policy_gate::PolicyGate;
 use croftsill::node::process::config::{Chat, ConfigError, Platform};
@@ -114,7 +114,7 @@
 fn first_list(config: &Platform, inherited: Option<State>, shutdown: &Shutdown) -> Membership {
     let mut known = Membership::default();
     if let Some(list) = &config.known {
-        let _ = known.take(list);
+        let _ = known.apply_list(list);
     }
     if let Some(state) = inherited {
         succession::take_over(shutdown, &state);
@@ -211,9 +211,10 @@
     let known = first_list(&config, inherited, shutdown);
     let fleet = Fleet::new(core.clone(), config.settings.clone(), config.names.clone(), clock, known);
     let (told, heard) = watch::channel(false);
-    let directory = Directory::new(fleet.clone(), Pace::new(&config.settings, config.seed), told);
+    let directory =
+        DiscoveryClient::new(fleet.clone(), CallSchedule::new(&config.settings, config.seed), told);
     let discovery = address.clone();
-    spawn_local(directory.follow(address));
+    spawn_local(directory.run(address));
     let given = Given { known: config.known.is_some() || fresh, inherited: fresh };
     #[cfg(feature = "cluster")]
     let shared = share(peers, &fleet, (config.name.clone(), clock), shutdown);
--- a/src/node/front/operator.rs
+++ b/src/node/front/operator.rs
@@ -234,7 +234,7 @@
                     self.fleet.ban(id).await?;
                     self.partners.tell(&Message::Ban(id.into()));
                 } else {
-                    self.fleet.lift(id).await?;
+                    self.fleet.lift_ban(id).await?;
                     self.partners.tell(&Message::Lift(id.into()));
                 }
                 #[cfg(feature = "cluster")]
@@ -249,7 +249,7 @@
             ["status"] => {
                 must(Method::GET, "GET")?;
                 let membership = self.fleet.membership();
-                let instances = membership.all().into_iter();
+                let instances = membership.targets().into_iter();
                 let instances: BTreeMap<_, _> = instances.map(|t| (t.id, format!("{:?}", t.state))).collect();
                 let status = json!({
                     "stage": readiness.stage().name(),
--- a/src/node/list/backoff/tests.rs
+++ b/src/node/list/backoff/tests.rs
@@ -1,45 +1,48 @@
 use super::*;
 
-const FIRST: Duration = Duration::from_millis(250);
-const MOST: Duration = Duration::from_secs(10);
+const INITIAL_DELAY: Duration = Duration::from_millis(250);
+const MAX_DELAY: Duration = Duration::from_secs(10);
 
-fn waits(seed: u64, count: usize) -> Vec<Duration> {
-    let mut backoff = Backoff::new(FIRST, MOST, seed);
-    (0..count).map(|_| backoff.after(Duration::ZERO, MOST)).collect()
+fn delays(seed: u64, count: usize) -> Vec<Duration> {
+    let mut backoff = Backoff::new(INITIAL_DELAY, MAX_DELAY, seed);
+    (0..count).map(|_| backoff.next_delay(Duration::ZERO, MAX_DELAY)).collect()
 }
 
 #[test]
-fn waits_grow_to_the_cap_and_stay_there() {
-    let waits = waits(1, 40);
-    assert!(waits[0] <= FIRST && waits[0] >= FIRST / 2);
-    assert!(waits[5..].iter().all(|w| *w >= MOST / 2 && *w <= MOST), "{waits:?}");
+fn delays_grow_to_the_maximum_and_stay_there() {
+    let delays = delays(1, 40);
+    assert!(delays[0] <= INITIAL_DELAY && delays[0] >= INITIAL_DELAY / 2);
+    assert!(delays[5..].iter().all(|delay| *delay >= MAX_DELAY / 2 && *delay <= MAX_DELAY), "{delays:?}");
 }
 
 #[test]
-fn a_hundred_that_fail_together_do_not_come_back_together() {
-    // What lost its service at one moment, as the calls of each tenth of a second.
+fn a_hundred_simultaneous_failures_are_retried_at_different_times() {
+    // Calls in each tenth of a second after all have lost the service at the same moment.
     let mut calls = vec![0; 1_200];
     for seed in 0..100 {
-        let mut at = Duration::ZERO;
-        for wait in waits(seed, 60) {
-            at += wait;
-            if let Some(slot) = calls.get_mut(at.as_millis() as usize / 100) {
+        let mut time = Duration::ZERO;
+        for delay in delays(seed, 60) {
+            time += delay;
+            if let Some(slot) = calls.get_mut(time.as_millis() as usize / 100) {
                 *slot += 1;
             }
         }
     }
     let settled = &calls[100..];
     assert!(settled.iter().all(|&n| n <= 12), "{settled:?}");
-    assert!(settled.iter().sum::<i32>() < 110 * 20, "about thirteen a second at the cap");
+    assert!(settled.iter().sum::<i32>() < 110 * 20, "about thirteen calls per second at the maximum delay");
 }
 
 #[test]
-fn only_what_lasted_starts_over() {
-    let mut backoff = Backoff::new(FIRST, MOST, 3);
-    let _ = [(); 6].map(|()| backoff.after(Duration::ZERO, MOST));
-    assert!(backoff.after(Duration::from_secs(1), MOST) >= MOST / 2, "taken and dropped is no success");
-    assert!(backoff.after(Duration::from_secs(60), MOST) <= FIRST);
-    let _ = [(); 6].map(|()| backoff.after(Duration::ZERO, MOST));
+fn only_a_lasting_success_resets_the_delay() {
+    let mut backoff = Backoff::new(INITIAL_DELAY, MAX_DELAY, 3);
+    let _ = [(); 6].map(|()| backoff.next_delay(Duration::ZERO, MAX_DELAY));
+    assert!(
+        backoff.next_delay(Duration::from_secs(1), MAX_DELAY) >= MAX_DELAY / 2,
+        "a call that is accepted and soon dropped is not a success"
+    );
+    assert!(backoff.next_delay(Duration::from_secs(60), MAX_DELAY) <= INITIAL_DELAY);
+    let _ = [(); 6].map(|()| backoff.next_delay(Duration::ZERO, MAX_DELAY));
     backoff.reset();
-    assert!(backoff.after(Duration::ZERO, MOST) <= FIRST);
+    assert!(backoff.next_delay(Duration::ZERO, MAX_DELAY) <= INITIAL_DELAY);
 }
--- a/src/node/list/discovery.rs
+++ b/src/node/list/discovery.rs
@@ -1,4 +1,5 @@
-//! Following discovery: a watch on what changes, and calls for what was missed.
+//! The client of the discovery service. It keeps one watch open for changes, and calls the service again when the watch is
+//! lost or a call fails.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,292 +17,310 @@
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 
 use super::fleet::Fleet;
-use super::membership::{OlderList, Targets};
-use super::pace::{CallTimeouts, Cause, Pace};
-use super::targets::{Faults, MOST, Reader, Unreadable};
+use super::membership::{StaleList, TargetList};
+use super::pace::{CallReason, CallSchedule, CallTimeouts};
+use super::targets::{EntryFaults, ListDecoder, ListError, MAX_LIST_BYTES};
 use crate::node::counters::add;
 use crate::node::uninterrupted::Uninterrupted;
 
-/// Why discovery is not heard.
+/// Why a call to discovery failed or a watch was lost.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
-    /// No connection.
+    /// The connection could not be opened.
     #[error("cannot connect: {0}")]
     Connect(std::io::Error),
-    /// The exchange failed.
+    /// The HTTP exchange failed.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// Not the answer that is meant to come.
+    /// The response has a status other than 200.
     #[error("answered {0}")]
     Status(StatusCode),
-    /// A whole list that is none.
+    /// The response to a call for the full list cannot be parsed.
     #[error("{0}")]
-    Form(#[from] Unreadable),
-    /// A list that may not be taken in.
+    List(#[from] ListError),
+    /// The list is older than the current one.
     #[error("{0}")]
-    Older(#[from] OlderList),
-    /// Nothing came for too long.
+    Stale(#[from] StaleList),
+    /// Nothing arrived within the timeout.
     #[error("silent")]
     Silent,
-    /// It ended.
-    #[error("ended")]
+    /// The response body ended.
+    #[error("stream ended")]
     Ended,
 }
 
-/// What a call has brought.
-enum Heard {
-    Whole(Targets, Faults),
-    /// The watch, and the first bytes on it.
+/// A successful response to a call.
+enum Response {
+    /// The full list.
+    List(TargetList, EntryFaults),
+    /// An open watch, and the first bytes on it.
     Watch(Incoming, Bytes),
 }
 
 /// An open watch.
 struct Watch {
     body: Incoming,
-    reader: Reader,
-    begun: Instant,
-    heard: Instant,
-    /// Whether it has brought a list.
-    told: bool,
+    decoder: ListDecoder,
+    opened_at: Instant,
+    last_bytes_at: Instant,
+    /// Whether the watch has delivered a list.
+    has_list: bool,
 }
 
-/// Follows discovery for a fleet.
-pub struct Directory {
+/// Keeps a fleet's list up to date with the discovery service.
+pub struct DiscoveryClient {
     fleet: Rc<Fleet>,
-    pace: Pace,
-    told: watch::Sender<bool>,
+    schedule: CallSchedule,
+    list_received: watch::Sender<bool>,
     watch: Option<Watch>,
-    calls: JoinSet<Result<Heard, WatchError>>,
-    /// When to begin the next call.
-    next: Option<Instant>,
-    /// When the last call began.
-    asked: Instant,
-    /// Since when discovery has not been heard.
-    unheard: Option<Instant>,
+    calls: JoinSet<Result<Response, WatchError>>,
+    /// When to start the next call.
+    next_call_at: Option<Instant>,
+    /// When the last call started.
+    last_call_at: Instant,
+    /// Since when discovery has been unavailable.
+    unavailable_since: Option<Instant>,
 }
 
-impl Directory {
-    /// A directory for this fleet; `told` turns true with the first list.
-    pub fn new(fleet: Rc<Fleet>, pace: Pace, told: watch::Sender<bool>) -> Self {
-        let (calls, next) = (JoinSet::new(), None);
-        Directory { fleet, pace, told, watch: None, calls, next, asked: Instant::now(), unheard: None }
+impl DiscoveryClient {
+    /// Creates a client for this fleet. `list_received` turns true with the first list.
+    pub fn new(fleet: Rc<Fleet>, schedule: CallSchedule, list_received: watch::Sender<bool>) -> Self {
+        let (calls, next_call_at) = (JoinSet::new(), None);
+        DiscoveryClient {
+            fleet,
+            schedule,
+            list_received,
+            watch: None,
+            calls,
+            next_call_at,
+            last_call_at: Instant::now(),
+            unavailable_since: None,
+        }
     }
 
-    /// Follows discovery for ever, wherever it is. At a new address the whole list is asked for again: its versions may
-    /// not go on from the old one's.
-    pub async fn follow(mut self, mut address: watch::Receiver<SocketAddr>) {
-        self.ask_after(Cause::Start, Instant::now());
+    /// Follows the discovery service at its current address, and never returns. After a change of address the full list is
+    /// requested again, because the versions of the new service may not continue those of the old one.
+    pub async fn run(mut self, mut address: watch::Receiver<SocketAddr>) {
+        self.schedule_call(CallReason::Start, Instant::now());
         loop {
-            let silence = self.pace.silence();
+            let silence = self.schedule.watch_timeout();
             tokio::select! {
                 biased;
                 Ok(()) = address.changed() => {
                     tracing::info!("discovery: moved to {}", *address.borrow());
                     self.fleet.forget_version();
                     (self.watch, self.calls) = (None, JoinSet::new());
-                    self.pace.reset();
-                    self.ask_after(Cause::Moved, Instant::now());
+                    self.schedule.reset();
+                    self.schedule_call(CallReason::AddressChanged, Instant::now());
                 }
-                part = piece(&mut self.watch, silence) => self.take_part(part),
-                Some(done) = self.calls.join_next() => match done {
-                    Ok(Ok(heard)) => self.answered(heard),
-                    Ok(Err(fault)) => self.unanswered(&fault),
+                chunk = next_chunk(&mut self.watch, silence) => self.handle_chunk(chunk),
+                Some(result) = self.calls.join_next() => match result {
+                    Ok(Ok(response)) => self.handle_response(response),
+                    Ok(Err(error)) => self.handle_failed_call(&error),
                     Err(_) => {}
                 },
-                () = sleep_until(self.next.unwrap_or_else(Instant::now)), if self.next.is_some() => {
+                () = sleep_until(self.next_call_at.unwrap_or_else(Instant::now)), if self.next_call_at.is_some() => {
                     let addr = *address.borrow();
-                    self.call(addr);
+                    self.start_call(addr);
                 }
             }
         }
     }
 
-    /// The wait before the next call, where nothing has been heard since then.
-    fn ask_after(&mut self, cause: Cause, since: Instant) -> Duration {
-        let wait = self.pace.after(cause, since.max(self.asked).elapsed());
-        self.next = Some(Instant::now() + wait);
-        wait
+    /// Schedules the next call and returns the delay until then. Nothing has been received since `last_received_at`.
+    fn schedule_call(&mut self, reason: CallReason, last_received_at: Instant) -> Duration {
+        let delay = self.schedule.next_delay(reason, last_received_at.max(self.last_call_at).elapsed());
+        self.next_call_at = Some(Instant::now() + delay);
+        delay
     }
 
-    /// Begins a call: for what has changed since the list at hand, also when that came with the configuration, as a whole
-    /// list costs discovery more.
-    fn call(&mut self, addr: SocketAddr) {
+    /// Starts a call for the changes since the current list, also when that list came with the configuration: a full list is
+    /// more expensive for discovery.
+    fn start_call(&mut self, addr: SocketAddr) {
         add(&self.fleet.core().counters.watches);
-        self.asked = Instant::now();
-        self.calls.spawn_local(ask(addr, self.fleet.version(), self.pace.timeouts()));
-        // Whatever becomes of this one: a call that stays unanswered must not hide that discovery is back.
-        self.next = Some(self.asked + self.pace.beside());
+        self.last_call_at = Instant::now();
+        self.calls.spawn_local(call(addr, self.fleet.version(), self.schedule.next_timeouts()));
+        // The next call does not wait for this one to end: a call that hangs must not hide that discovery is available again.
+        self.next_call_at = Some(self.last_call_at + self.schedule.hedge_delay());
     }
 
-    fn answered(&mut self, heard: Heard) {
-        // All others were asked before it, or are as new.
-        (self.calls, self.next) = (JoinSet::new(), None);
-        match heard {
-            Heard::Whole(list, faults) => {
+    fn handle_response(&mut self, response: Response) {
+        // The other calls can be dropped: each started earlier, or would bring the same state.
+        (self.calls, self.next_call_at) = (JoinSet::new(), None);
+        match response {
+            Response::List(list, faults) => {
                 self.fleet.forget_version();
-                let _ = self.take(&list, &faults);
-                // From here on the changes; a list without a version can only be asked for again.
+                let _ = self.apply_list(&list, &faults);
+                // A list with a version is followed by a watch for changes; one without can only be requested again.
                 if list.version.is_some() {
-                    self.next = Some(Instant::now());
+                    self.next_call_at = Some(Instant::now());
                 } else {
-                    self.ask_after(Cause::Call, Instant::now());
+                    self.schedule_call(CallReason::CallFailed, Instant::now());
                 }
             }
-            Heard::Watch(body, first) => {
+            Response::Watch(body, first_bytes) => {
                 let now = Instant::now();
-                self.watch =
-                    Some(Watch { body, reader: Reader::default(), begun: now, heard: now, told: false });
-                self.take_part(Ok(Some(first)));
+                self.watch = Some(Watch {
+                    body,
+                    decoder: ListDecoder::default(),
+                    opened_at: now,
+                    last_bytes_at: now,
+                    has_list: false,
+                });
+                self.handle_chunk(Ok(Some(first_bytes)));
             }
         }
     }
 
-    fn unanswered(&mut self, fault: &WatchError) {
-        let cause = match fault {
+    fn handle_failed_call(&mut self, error: &WatchError) {
+        let reason = match error {
             WatchError::Status(StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) => {
-                Cause::Refused
+                CallReason::Refused
             }
-            _ => Cause::Call,
+            _ => CallReason::CallFailed,
         };
-        let due = self.next.filter(|_| cause == Cause::Call);
-        if cause == Cause::Refused {
+        let scheduled_at = self.next_call_at.filter(|_| reason == CallReason::CallFailed);
+        if reason == CallReason::Refused {
             self.calls = JoinSet::new();
         }
-        let mut wait = self.ask_after(cause, self.asked);
-        if let Some(due) = due {
-            // Another one may be due sooner in any case.
-            wait = wait.min(due.saturating_duration_since(Instant::now()));
-            self.next = self.next.min(Some(due));
+        let mut delay = self.schedule_call(reason, self.last_call_at);
+        if let Some(scheduled_at) = scheduled_at {
+            // The call that was already scheduled may come earlier.
+            delay = delay.min(scheduled_at.saturating_duration_since(Instant::now()));
+            self.next_call_at = self.next_call_at.min(Some(scheduled_at));
         }
-        self.lost(fault, wait);
+        self.report_unavailable(error, delay);
     }
 
-    /// Says once that discovery is not heard, until it is again.
-    fn lost(&mut self, fault: &WatchError, wait: Duration) {
-        let (now, wait) = (Instant::now(), wait.as_millis());
-        match self.unheard {
-            Some(_) => tracing::debug!("discovery: not heard, {fault}; asking again in {wait} ms"),
+    /// Warns once when discovery becomes unavailable; failures after that are logged at debug level until it is available again.
+    fn report_unavailable(&mut self, error: &WatchError, delay: Duration) {
+        let (now, delay_ms) = (Instant::now(), delay.as_millis());
+        match self.unavailable_since {
+            Some(_) => tracing::debug!("discovery: still unavailable, {error}; retrying in {delay_ms} ms"),
             None => {
                 let version = self.fleet.version().map_or("none".into(), |v| v.to_string());
                 tracing::warn!(
-                    "discovery: watch lost, {fault}; list {version} holds, asking again in {wait} ms"
+                    "discovery: watch lost, {error}; keeping list version {version}, retrying in {delay_ms} ms"
                 );
                 self.fleet.core().planner.hosts_failed();
-                self.unheard = Some(now);
+                self.unavailable_since = Some(now);
             }
         }
     }
 
-    fn take_part(&mut self, part: Result<Option<Bytes>, WatchError>) {
-        let fault = match part {
-            Ok(Some(part)) => match self.take_bytes(&part) {
+    fn handle_chunk(&mut self, chunk: Result<Option<Bytes>, WatchError>) {
+        let error = match chunk {
+            Ok(Some(chunk)) => match self.decode_chunk(&chunk) {
                 Ok(()) => return,
-                Err(fault) => fault,
+                Err(error) => error,
             },
             Ok(None) => WatchError::Ended,
-            Err(fault) => fault,
+            Err(error) => error,
         };
         let Some(lost) = self.watch.take() else { return };
-        let silent = matches!(fault, WatchError::Silent);
-        let wait = self.ask_after(self.pace.lost(lost.begun.elapsed(), silent), lost.heard);
-        self.lost(&fault, wait);
+        let is_silent = matches!(error, WatchError::Silent);
+        let delay = self.schedule_call(
+            self.schedule.loss_reason(lost.opened_at.elapsed(), is_silent),
+            lost.last_bytes_at,
+        );
+        self.report_unavailable(&error, delay);
     }
 
-    fn take_bytes(&mut self, part: &[u8]) -> Result<(), WatchError> {
+    fn decode_chunk(&mut self, chunk: &[u8]) -> Result<(), WatchError> {
         let Some(mut watch) = self.watch.take() else { return Ok(()) };
-        watch.heard = Instant::now();
-        watch.reader.push(part);
-        let mut taken = Ok(());
-        while let (Ok(()), Some(read)) = (&taken, watch.reader.list()) {
-            match read {
+        watch.last_bytes_at = Instant::now();
+        watch.decoder.push(chunk);
+        let mut applied = Ok(());
+        while let (Ok(()), Some(parsed)) = (&applied, watch.decoder.next_list()) {
+            match parsed {
                 Ok((list, faults)) => {
-                    watch.told = true;
-                    taken = self.take(&list, &faults);
+                    watch.has_list = true;
+                    applied = self.apply_list(&list, &faults);
                 }
-                Err(fault) => tracing::warn!("discovery: {fault}; passed over"),
+                Err(error) => tracing::warn!("discovery: {error}; ignored"),
             }
         }
-        let told = watch.told;
+        let has_list = watch.has_list;
         self.watch = Some(watch);
-        if told && taken.is_ok() {
-            self.pace.reset();
-            if let Some(since) = self.unheard.take() {
-                let (ms, version) = (since.elapsed().as_millis(), self.fleet.version());
+        if has_list && applied.is_ok() {
+            self.schedule.reset();
+            if let Some(since) = self.unavailable_since.take() {
+                let (outage_ms, version) = (since.elapsed().as_millis(), self.fleet.version());
                 let version = version.map_or("none".into(), |v| v.to_string());
-                tracing::info!("discovery: heard again after {ms} ms, list {version}");
+                tracing::info!("discovery: heard again after {outage_ms} ms, list version {version}");
             }
         }
-        taken
+        applied
     }
 
-    fn take(&mut self, list: &Targets, faults: &Faults) -> Result<(), WatchError> {
-        if let Some(line) = faults.line() {
-            tracing::warn!("discovery: {line}");
+    fn apply_list(&mut self, list: &TargetList, faults: &EntryFaults) -> Result<(), WatchError> {
+        if let Some(summary) = faults.summary() {
+            tracing::warn!("discovery: {summary}");
         }
-        match self.fleet.take(list) {
+        match self.fleet.apply_list(list) {
             Ok(()) => {
-                self.told.send_replace(true);
+                self.list_received.send_replace(true);
                 Ok(())
             }
-            Err(older) => {
-                // Which of the two discovery means only a whole list tells.
+            Err(stale) => {
+                // Only a full list shows which of the two versions discovery means.
                 self.fleet.forget_version();
-                Err(older.into())
+                Err(stale.into())
             }
         }
     }
 }
 
-/// Asks for the changes since this version, or for the whole list. A watch is heard with its first bytes: behind a head alone
-/// may stand a service that is gone by then.
-async fn ask(addr: SocketAddr, since: Option<u64>, timeouts: CallTimeouts) -> Result<Heard, WatchError> {
-    let begun = Instant::now();
+/// Requests the changes since this version, or the full list without one. A watch counts as open only with its first bytes: the
+/// service may have failed after it sent the response head.
+async fn call(addr: SocketAddr, since: Option<u64>, timeouts: CallTimeouts) -> Result<Response, WatchError> {
+    let started_at = Instant::now();
     let Some(since) = since else {
         let mut body = get(addr, "/api/targets", timeouts.answer).await?;
         let mut text = BytesMut::new();
-        let by = begun + timeouts.answer;
-        while let Some(part) = timeout_at(by, body.frame()).await.map_err(|_| WatchError::Silent)? {
-            text.extend_from_slice(&part?.into_data().unwrap_or_default());
-            if text.len() > MOST {
-                return Err(Unreadable::TooLong.into());
+        let deadline = started_at + timeouts.answer;
+        while let Some(frame) = timeout_at(deadline, body.frame()).await.map_err(|_| WatchError::Silent)? {
+            text.extend_from_slice(&frame?.into_data().unwrap_or_default());
+            if text.len() > MAX_LIST_BYTES {
+                return Err(ListError::TooLong.into());
             }
         }
-        let (list, faults) = Targets::parse(&text)?;
-        return Ok(Heard::Whole(list, faults));
+        let (list, faults) = TargetList::parse(&text)?;
+        return Ok(Response::List(list, faults));
     };
     let mut body = get(addr, &format!("/api/targets?follow=1&since={since}"), timeouts.answer).await?;
-    let by = begun + timeouts.first_line;
-    while let Some(part) = timeout_at(by, body.frame()).await.map_err(|_| WatchError::Silent)? {
-        let first = part?.into_data().unwrap_or_default();
-        if !first.is_empty() {
-            return Ok(Heard::Watch(body, first));
+    let deadline = started_at + timeouts.first_bytes;
+    while let Some(frame) = timeout_at(deadline, body.frame()).await.map_err(|_| WatchError::Silent)? {
+        let first_bytes = frame?.into_data().unwrap_or_default();
+        if !first_bytes.is_empty() {
+            return Ok(Response::Watch(body, first_bytes));
         }
     }
     Err(WatchError::Ended)
 }
 
-async fn get(addr: SocketAddr, path: &str, within: Duration) -> Result<Incoming, WatchError> {
+async fn get(addr: SocketAddr, path: &str, response_timeout: Duration) -> Result<Incoming, WatchError> {
     let exchange = async {
         let socket = TcpStream::connect(addr).await.map_err(WatchError::Connect)?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(Uninterrupted(socket))).await?;
-        // It ends with the answer's body, or when that is dropped.
+        // The task ends with the response body, or when the body is dropped.
         tokio::task::spawn_local(connection);
         let request = Request::get(path).header("host", addr.to_string()).body(Empty::<Bytes>::new());
         let Ok(request) = request else { return Err(WatchError::Ended) };
-        let answer = sender.send_request(request).await?;
-        match answer.status() {
-            StatusCode::OK => Ok(answer.into_body()),
+        let response = sender.send_request(request).await?;
+        match response.status() {
+            StatusCode::OK => Ok(response.into_body()),
             other => Err(WatchError::Status(other)),
         }
     };
-    timeout(within, exchange).await.unwrap_or(Err(WatchError::Silent))
+    timeout(response_timeout, exchange).await.unwrap_or(Err(WatchError::Silent))
 }
 
-/// The next bytes of a watch, none at its end; never, where there is no watch. What has come is taken before a silence is
-/// judged, also where this process did not run for long.
-async fn piece(watch: &mut Option<Watch>, silence: Duration) -> Result<Option<Bytes>, WatchError> {
+/// Returns the next bytes of a watch, or none at its end; without a watch it never returns. Bytes that have arrived are read
+/// before the timeout is checked, also when this process was not scheduled for a long time.
+async fn next_chunk(watch: &mut Option<Watch>, silence: Duration) -> Result<Option<Bytes>, WatchError> {
     let Some(watch) = watch else { return std::future::pending().await };
-    match timeout_at(watch.heard + silence, watch.body.frame()).await {
+    match timeout_at(watch.last_bytes_at + silence, watch.body.frame()).await {
         Err(_) => Err(WatchError::Silent),
         Ok(None) => Ok(None),
         Ok(Some(frame)) => Ok(Some(frame?.into_data().unwrap_or_default())),
--- a/src/node/list/fleet.rs
+++ b/src/node/list/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet as its list and the operators have it, told to its planner and its pool alike.
+//! The instances of a fleet, from discovery's list and operators' bans. Every change is passed on to the planner and the
+//! connection pool.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -6,7 +7,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::membership::{Membership, OlderList, State, Target, Targets, UnknownId};
+use super::membership::{Membership, StaleList, Target, TargetList, TargetState, UnknownId};
 use super::start_times::StartTimes;
 use crate::api::*;
 use crate::node::counters::add;
@@ -14,183 +15,185 @@
 use crate::node::{Clock, Core};
 use crate::wire::Names;
 
-/// The numbers by which instances are known here, and their ids.
+/// The mapping between the ids of instances and the numbers that the decision module uses for them.
 #[derive(Default)]
-struct Ids {
-    numbers: HashMap<String, HostId>,
+struct HostNumbers {
+    hosts: HashMap<String, HostId>,
     ids: HashMap<HostId, String>,
 }
 
-impl Ids {
-    /// The same number for the same id at every conductor, whatever its order among the rest.
-    fn number(&mut self, id: &str) -> HostId {
-        if let Some(&host) = self.numbers.get(id) {
+impl HostNumbers {
+    /// Returns the number of an id, and assigns one if it has none. The number is a hash of the id, so that all conductors use the
+    /// same one whatever the order of the list.
+    fn assign(&mut self, id: &str) -> HostId {
+        if let Some(&host) = self.hosts.get(id) {
             return host;
         }
-        let numbers = (0..).map(|seed| HostId(xxh3_64_with_seed(id.as_bytes(), seed) as u32));
-        let free = numbers.into_iter().find(|number| !self.ids.contains_key(number));
+        let candidates = (0..).map(|seed| HostId(xxh3_64_with_seed(id.as_bytes(), seed) as u32));
+        let free = candidates.into_iter().find(|host| !self.ids.contains_key(host));
         let host = free.unwrap_or_default();
-        self.numbers.insert(id.to_owned(), host);
+        self.hosts.insert(id.to_owned(), host);
         self.ids.insert(host, id.to_owned());
         host
     }
 
     fn remove(&mut self, id: &str) {
-        self.numbers.remove(id).map(|host| self.ids.remove(&host));
+        self.hosts.remove(id).map(|host| self.ids.remove(&host));
     }
 
-    fn retain(&mut self, keep: impl Fn(&HostId) -> bool) {
-        self.numbers.retain(|_, host| keep(host));
-        self.ids.retain(|host, _| keep(host));
+    fn retain(&mut self, is_kept: impl Fn(&HostId) -> bool) {
+        self.hosts.retain(|_, host| is_kept(host));
+        self.ids.retain(|host, _| is_kept(host));
     }
 }
 
-/// Keeps who may be sent work, and tells planner and pool of each change at once.
+/// The instances of a fleet. It passes each change to the planner and the pool at once.
 pub struct Fleet {
     core: Core,
     settings: Settings,
     names: Names,
     clock: Clock,
     membership: RefCell<Membership>,
-    ids: RefCell<Ids>,
-    starts: RefCell<StartTimes>,
+    host_numbers: RefCell<HostNumbers>,
+    start_times: RefCell<StartTimes>,
 }
 
 impl Fleet {
-    /// A fleet of which this much is known.
-    pub fn new(core: Core, settings: Settings, names: Names, clock: Clock, known: Membership) -> Rc<Self> {
-        let (membership, ids, starts) = (RefCell::new(known), RefCell::default(), RefCell::default());
-        let fleet = Fleet { core, settings, names, clock, membership, ids, starts };
-        let all = fleet.membership.borrow().all();
-        if !all.is_empty() {
-            fleet.tell(true, &all);
+    /// Creates a fleet with the membership known so far.
+    pub fn new(
+        core: Core, settings: Settings, names: Names, clock: Clock, membership: Membership,
+    ) -> Rc<Self> {
+        let (membership, host_numbers, start_times) =
+            (RefCell::new(membership), RefCell::default(), RefCell::default());
+        let fleet = Fleet { core, settings, names, clock, membership, host_numbers, start_times };
+        let targets = fleet.membership.borrow().targets();
+        if !targets.is_empty() {
+            fleet.publish(true, &targets);
         }
         Rc::new(fleet)
     }
 
-    /// The version of the last list taken in.
+    /// Returns the version of the last list applied.
     pub fn version(&self) -> Option<u64> {
         self.membership.borrow().version()
     }
 
-    /// All that is known, to be handed over.
+    /// Returns a copy of the membership, to be handed over to another process.
     pub fn membership(&self) -> Membership {
         self.membership.borrow().clone()
     }
 
-    /// Its planner and instances.
+    /// Returns the fleet's planner and upstream.
     pub fn core(&self) -> &Core {
         &self.core
     }
 
-    /// Discovery is another one now, or its versions do not go on from the list at hand.
+    /// Forgets the version of the list, because discovery moved or its versions do not continue from the current list.
     pub fn forget_version(&self) {
         self.membership.borrow_mut().forget_version();
     }
 
-    /// Takes a list in at once: what drains or is gone must not wait.
-    pub fn take(&self, list: &Targets) -> Result<(), OlderList> {
-        let seen = self.membership.borrow_mut().take(list)?;
+    /// Applies a list and publishes its changes at once: instances that drain or are gone must not get more work.
+    pub fn apply_list(&self, list: &TargetList) -> Result<(), StaleList> {
+        let changed = self.membership.borrow_mut().apply_list(list)?;
         add(&self.core.counters.lists);
         if !list.full {
-            let lines = list.servers.iter();
-            lines.for_each(|t| tracing::info!("discovery: {} is {:?}", t.id, t.state));
+            let servers = list.servers.iter();
+            servers.for_each(|target| tracing::info!("discovery: {} is {:?}", target.id, target.state));
         }
-        self.tell(list.full, &seen);
+        self.publish(list.full, &changed);
         Ok(())
     }
 
-    /// Nothing more to this instance, until it is lifted. Once this returns no attempt begins there.
+    /// Bans an instance from new work until the ban is lifted. No attempt starts there after this returns.
     pub async fn ban(&self, id: &str) -> Result<(), UnknownId> {
         let changed = self.membership.borrow_mut().ban(id, self.clock.unix_ms())?;
         if let Some(target) = changed {
             add(&self.core.counters.bans);
             tracing::info!("operator: {id} is out for maintenance");
-            self.tell(false, std::slice::from_ref(&target));
-            self.forget_connections(id);
+            self.publish(false, std::slice::from_ref(&target));
+            self.distrust_connections(id);
         }
         self.core.planner.settled().await;
         Ok(())
     }
 
-    /// The instance may serve again; it is taken to have started just now.
-    pub async fn lift(&self, id: &str) -> Result<(), UnknownId> {
-        let changed = self.membership.borrow_mut().lift(id, self.clock.unix_ms())?;
+    /// Lifts the ban of an instance, which counts as just started.
+    pub async fn lift_ban(&self, id: &str) -> Result<(), UnknownId> {
+        let changed = self.membership.borrow_mut().lift_ban(id, self.clock.unix_ms())?;
         if let Some(target) = changed {
             add(&self.core.counters.bans_lifted);
             tracing::info!("operator: {id} is back from maintenance, cold");
-            self.forget_connections(id);
-            self.starts.borrow_mut().restarted(self.clock.now(), id, target.started_ms);
-            self.tell(false, std::slice::from_ref(&target));
+            self.distrust_connections(id);
+            self.start_times.borrow_mut().record_restart(self.clock.now(), id, target.started_ms);
+            self.publish(false, std::slice::from_ref(&target));
         }
         self.core.planner.settled().await;
         Ok(())
     }
 
-    /// Returns of instances that others saw, in Unix milliseconds: they started then, or later.
-    pub fn returned(&self, returns: &std::collections::BTreeMap<String, i64>) {
-        let changed = self.membership.borrow_mut().returned(returns);
+    /// Merges returns of instances that other conductors recorded, in Unix milliseconds. The instances started then, or later.
+    pub fn merge_returns(&self, returns: &std::collections::BTreeMap<String, i64>) {
+        let changed = self.membership.borrow_mut().merge_returns(returns);
         if !changed.is_empty() {
-            self.tell(false, &changed);
+            self.publish(false, &changed);
         }
     }
 
-    /// The number of an instance that is listed.
-    pub fn known(&self, id: &str) -> Option<HostId> {
-        self.ids.borrow().numbers.get(id).copied()
+    /// Returns the number of a listed instance.
+    pub fn host(&self, id: &str) -> Option<HostId> {
+        self.host_numbers.borrow().hosts.get(id).copied()
     }
 
-    /// Its id.
-    pub fn named(&self, host: HostId) -> Option<String> {
-        self.ids.borrow().ids.get(&host).cloned()
+    /// Returns the id of the instance with this number.
+    pub fn instance_id(&self, host: HostId) -> Option<String> {
+        self.host_numbers.borrow().ids.get(&host).cloned()
     }
 
-    /// What stood idle there was opened to the process before its restart.
-    fn forget_connections(&self, id: &str) {
-        if let Some(host) = self.known(id) {
+    /// Stops the reuse of idle connections to an instance: they were opened to its process before the restart.
+    fn distrust_connections(&self, id: &str) {
+        if let Some(host) = self.host(id) {
             self.core.upstream.pool().distrust(host);
         }
     }
 
-    fn tell(&self, whole: bool, targets: &[Target]) {
+    /// Passes instances to the planner and the pool. `full` means that all others are gone.
+    fn publish(&self, full: bool, targets: &[Target]) {
         let pool = self.core.upstream.pool();
-        let (mut starts, reading) = (self.starts.borrow_mut(), self.clock.read());
-        starts.read(reading);
+        let (mut start_times, reading) = (self.start_times.borrow_mut(), self.clock.read());
+        start_times.update_clock(reading);
         let mut members = Vec::new();
         for target in targets {
-            let host = self.ids.borrow_mut().number(&target.id);
-            let zone = self.names.zones.iter().position(|z| *z == target.zone);
-            let kind = self.names.kinds.iter().position(|k| *k == target.kind);
+            let host = self.host_numbers.borrow_mut().assign(&target.id);
+            let zone = self.names.zones.iter().position(|name| *name == target.zone);
+            let kind = self.names.kinds.iter().position(|name| *name == target.kind);
             let phase = match target.state {
-                State::Ready => Phase::Serving,
-                State::Terminating => Phase::Draining,
-                State::Gone => Phase::Gone,
+                TargetState::Ready => Phase::Serving,
+                TargetState::Terminating => Phase::Draining,
+                TargetState::Gone => Phase::Gone,
             };
             let (zone, kind, phase, role) = match (zone, kind, pool.site(host)) {
                 (Some(zone), Some(kind), _) => (zone, kind, phase, self.settings.kinds[kind].role),
-                // An instance that is known by now: nothing more to what cannot be placed.
+                // A known instance whose zone or kind is now unknown gets no new work.
                 (_, _, Some(site)) => {
                     if phase != Phase::Gone {
-                        tracing::warn!(
-                            "discovery: {} has an unknown zone or kind, taken to drain",
-                            target.id
-                        );
+                        tracing::warn!("discovery: {} has an unknown zone or kind; draining it", target.id);
                     }
                     (0, 0, if phase == Phase::Gone { phase } else { Phase::Draining }, site.role)
                 }
                 _ => {
                     if phase != Phase::Gone {
-                        tracing::warn!("discovery: {} has an unknown zone or kind, passed over", target.id);
+                        tracing::warn!("discovery: {} has an unknown zone or kind; ignored", target.id);
                     }
-                    self.ids.borrow_mut().remove(&target.id);
+                    self.host_numbers.borrow_mut().remove(&target.id);
                     continue;
                 }
             };
             let name = target.id.as_str().into();
             let site = Site { name, addr: target.addr, role, ready: phase == Phase::Serving };
             if phase == Phase::Gone {
-                self.ids.borrow_mut().remove(&target.id);
-                starts.forget(&target.id);
+                self.host_numbers.borrow_mut().remove(&target.id);
+                start_times.remove(&target.id);
             }
             pool.place(host, Some(site).filter(|_| phase != Phase::Gone));
             members.push(Member {
@@ -199,16 +202,16 @@
                 cell: CellId(target.cell),
                 kind: KindId(kind),
                 phase,
-                started: starts.started(reading.now, &target.id, target.started_ms),
+                started: start_times.start_time(reading.monotonic, &target.id, target.started_ms),
             });
         }
-        if whole {
-            let named: HashSet<HostId> = members.iter().map(|m| m.host).collect();
-            let named = |host: &HostId| named.contains(host);
-            pool.hosts().into_iter().filter(|h| !named(h)).for_each(|host| pool.place(host, None));
-            self.ids.borrow_mut().retain(named);
-            starts.retain(|id| self.ids.borrow().numbers.contains_key(id));
+        if full {
+            let listed: HashSet<HostId> = members.iter().map(|member| member.host).collect();
+            let is_listed = |host: &HostId| listed.contains(host);
+            pool.hosts().into_iter().filter(|host| !is_listed(host)).for_each(|host| pool.place(host, None));
+            self.host_numbers.borrow_mut().retain(is_listed);
+            start_times.retain(|id| self.host_numbers.borrow().hosts.contains_key(id));
         }
-        self.core.planner.hosts(whole, members);
+        self.core.planner.hosts(full, members);
     }
 }
--- a/src/node/list/membership.rs
+++ b/src/node/list/membership.rs
@@ -1,66 +1,66 @@
-//! Who may be sent work: operators' bans laid over discovery's list. It does no I/O and reads no clock.
+//! The fleet's membership: discovery's list with operators' bans applied. It does no I/O and reads no clock.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Bans and returns remembered of ids that discovery does not name at present, of each the latest so many: some hundred
-/// kilobytes.
-const UNLISTED_MOST: usize = 4_096;
+/// Number of bans, and of returns, that are kept for ids that discovery does not list at present, the latest of each. They take
+/// some hundred kilobytes.
+const MAX_UNLISTED_IDS: usize = 4_096;
 
-/// A list of targets, whole or only its changes.
+/// A list of instances: all of them, or only those that changed.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Targets {
-    /// Number of the list, where it has one.
+pub struct TargetList {
+    /// Version of the list, if it has one.
     pub version: Option<u64>,
-    /// Ids not named are gone.
+    /// Whether the list is complete: instances that it does not name are gone.
     pub full: bool,
     /// The entries.
     pub servers: Vec<Target>,
-    /// Ids of entries that cannot be read: these take nothing new until one that can be read comes.
-    pub doubtful: Vec<String>,
+    /// Ids of entries that cannot be read. Their instances drain until a readable entry arrives.
+    pub unreadable_ids: Vec<String>,
 }
 
-/// A list that was not taken in: it is older than the one at hand.
+/// A list was rejected because it is older than the current one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("list {told} came after list {known}")]
-pub struct OlderList {
-    /// Its version.
-    pub told: u64,
-    /// The version at hand.
-    pub known: u64,
+#[error("received list version {received}, older than the current version {current}")]
+pub struct StaleList {
+    /// Version of the rejected list.
+    pub received: u64,
+    /// Version of the current list.
+    pub current: u64,
 }
 
-/// An instance, as discovery tells of it.
+/// An instance as discovery lists it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Target {
-    /// Its id, the same everywhere.
+    /// Id of the instance, the same at all conductors.
     pub id: String,
-    /// Where it listens.
+    /// Address on which the instance listens.
     pub addr: SocketAddr,
-    /// Its zone.
+    /// Name of its zone.
     pub zone: String,
-    /// Its kind.
+    /// Name of its kind.
     pub kind: String,
-    /// Its cell.
+    /// Number of its cell.
     #[serde(default)]
     pub cell: i64,
-    /// Whether it may be sent work.
-    pub state: State,
+    /// Whether the instance may be sent work.
+    pub state: TargetState,
     /// Unix time of its last start in milliseconds; 0 for long ago.
     #[serde(default)]
     pub started_ms: i64,
 }
 
-/// Whether an instance may be sent work; the later, the less.
+/// Whether an instance may be sent work, from the least to the most restrictive state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum State {
-    /// It serves.
+pub enum TargetState {
+    /// The instance accepts new work.
     Ready,
-    /// It finishes what it has.
+    /// The instance drains: it finishes its work and gets no more.
     Terminating,
-    /// It is gone.
+    /// The instance is gone.
     Gone,
 }
 
@@ -69,7 +69,7 @@
 #[error("no instance has the id \"{0}\"")]
 pub struct UnknownId(pub String);
 
-/// What a conductor knows of its instances beyond what it has learnt: a part of what it hands over.
+/// The membership of the fleet, a part of the state that a process hands over to its successor.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Membership {
@@ -77,114 +77,118 @@
     listed: BTreeMap<String, Target>,
     /// When each ban began, in Unix milliseconds.
     bans: BTreeMap<String, i64>,
-    /// When the last ban of an instance ended: it was restarted meanwhile.
+    /// When the last ban of each instance ended, in Unix milliseconds. The instance was restarted during the ban.
     returns: BTreeMap<String, i64>,
 }
 
 impl Membership {
-    /// The version of the last list taken in.
+    /// Returns the version of the last list applied.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// The list is of another discovery: its version says nothing to the one that is followed now.
+    /// Forgets the version of the list, which means nothing to another discovery service.
     pub fn forget_version(&mut self) {
         self.version = None;
     }
 
-    /// Takes a list in; gives it back as it holds with the bans laid over it. One of an older version than the list at hand
-    /// changes nothing: what it says has been said, and what came after it stands.
-    pub fn take(&mut self, list: &Targets) -> Result<Vec<Target>, OlderList> {
-        if let (Some(told), Some(known)) = (list.version, self.version)
-            && told < known
+    /// Applies a list, and returns its instances with the bans applied. A list older than the current one is rejected and changes
+    /// nothing: its contents were received before, and later changes must hold.
+    pub fn apply_list(&mut self, list: &TargetList) -> Result<Vec<Target>, StaleList> {
+        if let (Some(received), Some(current)) = (list.version, self.version)
+            && received < current
         {
-            return Err(OlderList { told, known });
+            return Err(StaleList { received, current });
         }
-        // A whole list without a version leaves none to ask from; its changes go on from the version at hand.
+        // After a full list without a version no changes can be requested; changes without one keep the current version.
         self.version = if list.full { list.version } else { list.version.or(self.version) };
         let draining =
-            |id: &String| Some(Target { state: State::Terminating, ..self.listed.get(id)?.clone() });
-        let doubtful: Vec<Target> = list.doubtful.iter().filter_map(draining).collect();
+            |id: &String| Some(Target { state: TargetState::Terminating, ..self.listed.get(id)?.clone() });
+        let unreadable: Vec<Target> = list.unreadable_ids.iter().filter_map(draining).collect();
         if list.full {
             self.listed.clear();
         }
-        for target in doubtful.iter().chain(&list.servers) {
+        for target in unreadable.iter().chain(&list.servers) {
             match target.state {
-                State::Gone => drop(self.listed.remove(&target.id)),
+                TargetState::Gone => drop(self.listed.remove(&target.id)),
                 _ => drop(self.listed.insert(target.id.clone(), target.clone())),
             }
         }
-        forget_oldest(&mut self.bans, &self.listed);
-        forget_oldest(&mut self.returns, &self.listed);
-        Ok(doubtful.iter().chain(&list.servers).map(|target| self.overlaid(target)).collect())
+        remove_oldest_unlisted(&mut self.bans, &self.listed);
+        remove_oldest_unlisted(&mut self.returns, &self.listed);
+        Ok(unreadable.iter().chain(&list.servers).map(|target| self.with_ban(target)).collect())
     }
 
-    /// The whole list as it holds.
-    pub fn all(&self) -> Vec<Target> {
-        self.listed.values().map(|target| self.overlaid(target)).collect()
+    /// Returns all listed instances with the bans applied.
+    pub fn targets(&self) -> Vec<Target> {
+        self.listed.values().map(|target| self.with_ban(target)).collect()
     }
 
-    /// Nothing more to this instance. Its new view, where there is one that differs.
+    /// Bans an instance from new work. Returns the instance as it is now, or none if it was banned before.
     pub fn ban(&mut self, id: &str, now_ms: i64) -> Result<Option<Target>, UnknownId> {
         if self.bans.contains_key(id) {
             return Ok(None);
         }
         let target = self.listed.get(id).ok_or_else(|| UnknownId(id.into()))?;
         self.bans.insert(id.into(), now_ms);
-        Ok(Some(self.overlaid(target)))
+        Ok(Some(self.with_ban(target)))
     }
 
-    /// The instance may serve again, however often it was banned. Its new view, where there is one that differs.
-    pub fn lift(&mut self, id: &str, now_ms: i64) -> Result<Option<Target>, UnknownId> {
+    /// Lifts the ban of an instance, however often it was banned. Returns the instance as it is now, or none if it was not banned
+    /// or is not listed.
+    pub fn lift_ban(&mut self, id: &str, now_ms: i64) -> Result<Option<Target>, UnknownId> {
         let listed = self.listed.get(id);
         if self.bans.remove(id).is_none() {
             return listed.map(|_| None).ok_or_else(|| UnknownId(id.into()));
         }
         self.returns.insert(id.into(), now_ms);
-        Ok(listed.map(|target| self.overlaid(target)))
+        Ok(listed.map(|target| self.with_ban(target)))
     }
 
-    /// Others saw these instances return; what they are now where that was not known here.
-    pub fn returned(&mut self, returns: &BTreeMap<String, i64>) -> Vec<Target> {
+    /// Merges returns that other conductors recorded, in Unix milliseconds. Returns the listed instances for which this one had
+    /// no return as late.
+    pub fn merge_returns(&mut self, returns: &BTreeMap<String, i64>) -> Vec<Target> {
         let mut changed = Vec::new();
-        for (id, &at) in returns {
-            if self.returns.get(id).is_none_or(|&known| known < at) {
-                self.returns.insert(id.clone(), at);
+        for (id, &returned_at) in returns {
+            if self.returns.get(id).is_none_or(|&known| known < returned_at) {
+                self.returns.insert(id.clone(), returned_at);
                 changed.extend(self.listed.get(id).cloned());
             }
         }
-        forget_oldest(&mut self.returns, &self.listed);
-        changed.iter().map(|target| self.overlaid(target)).collect()
+        remove_oldest_unlisted(&mut self.returns, &self.listed);
+        changed.iter().map(|target| self.with_ban(target)).collect()
     }
 
-    /// The banned ids, each with the time of its ban.
+    /// Returns the banned ids, each with the start of its ban in Unix milliseconds.
     pub fn bans(&self) -> &BTreeMap<String, i64> {
         &self.bans
     }
 
-    /// A banned instance drains, whatever discovery says; one that is back started when its ban ended, or later.
-    fn overlaid(&self, target: &Target) -> Target {
+    /// Applies the bans and returns to an instance. A banned instance drains whatever discovery reports; one whose ban ended
+    /// started at that time or later.
+    fn with_ban(&self, target: &Target) -> Target {
         let mut target = target.clone();
-        if target.state == State::Ready && self.bans.contains_key(&target.id) {
-            target.state = State::Terminating;
+        if target.state == TargetState::Ready && self.bans.contains_key(&target.id) {
+            target.state = TargetState::Terminating;
         }
         target.started_ms = target.started_ms.max(self.returns.get(&target.id).copied().unwrap_or(0));
         target
     }
 }
 
-/// A long service brings ever new ids; an id that discovery drops may come back, but seldom after very many others.
-fn forget_oldest(times: &mut BTreeMap<String, i64>, listed: &BTreeMap<String, Target>) {
-    if times.len() <= UNLISTED_MOST {
+/// Removes the oldest entries of unlisted ids beyond [`MAX_UNLISTED_IDS`], since a long-running fleet brings ever new ids. An id
+/// that discovery no longer lists may come back, but seldom after so many others.
+fn remove_oldest_unlisted(times: &mut BTreeMap<String, i64>, listed: &BTreeMap<String, Target>) {
+    if times.len() <= MAX_UNLISTED_IDS {
         return;
     }
     let unlisted = times.iter().filter(|(id, _)| !listed.contains_key(*id));
-    let mut unlisted: Vec<_> = unlisted.map(|(id, &at)| (at, id.clone())).collect();
+    let mut unlisted: Vec<_> = unlisted.map(|(id, &time)| (time, id.clone())).collect();
     unlisted.sort();
-    let over = unlisted.len().saturating_sub(UNLISTED_MOST);
-    for (_, id) in unlisted.into_iter().take(over) {
+    let excess = unlisted.len().saturating_sub(MAX_UNLISTED_IDS);
+    for (_, id) in unlisted.into_iter().take(excess) {
         tracing::info!(
-            "operator: more than {UNLISTED_MOST} ids that are not listed; the ban or return of {id} is forgotten"
+            "operator: bans or returns of more than {MAX_UNLISTED_IDS} unlisted ids; removing that of {id}"
         );
         times.remove(&id);
     }
--- a/src/node/list/mod.rs
+++ b/src/node/list/mod.rs
@@ -1,5 +1,6 @@
-//! The fleet's list: [`discovery`] follows it, at the times that [`pace`] and [`backoff`] give; [`targets`] reads what comes,
-//! [`membership`] lays operators' bans over it, [`start_times`] places starts on the monotonic clock, [`fleet`] tells planner and
+//! Service discovery: the list of instances in the fleet. [`discovery`] calls the discovery service at the times given by
+//! [`pace`] and [`backoff`], and [`targets`] parses the lists it sends. [`membership`] applies operators' bans to the list,
+//! [`start_times`] converts start times to the monotonic clock, and [`fleet`] passes changes to the planner and the connection
 //! pool.
 
 pub mod backoff;
--- a/src/node/list/pace.rs
+++ b/src/node/list/pace.rs
@@ -1,7 +1,9 @@
-//! When to ask discovery: every wait on the way of a change to this conductor, and the deadline that it keeps.
+//! The schedule of calls to discovery: the delay before each call, its timeouts, and the deadlines for a change to reach this
+//! conductor.
 //!
-//! `docs/LISTS.md` is the account behind the figures: for each way that a change takes, when it counts as told, and which
-//! of these waits keeps that. It does no I/O and reads no clock.
+//! Discovery is either an agent on the conductor's own machine or, with `ask_for_list`, a service that all conductors share.
+//! `docs/LISTS.md` derives the figures: for each way in which a change arrives, when it counts as announced and which of these
+//! delays keeps that deadline. The module does no I/O and reads no clock.
 
 use std::time::Duration;
 
@@ -9,133 +11,151 @@
 use crate::api::Settings;
 use crate::node::span;
 
-/// While nothing changes, a watch brings an empty line this often.
-pub const LINE_EVERY: Duration = Duration::from_secs(2);
-/// What a watch misses counts as told so long after it fell silent; elsewhere, so long after discovery has it.
-pub const TOLD_AFTER: Duration = Duration::from_secs(6);
-/// What discovery has to tell at a new address counts as told so long after SIGHUP.
-pub const MOVED_TOLD_AFTER: Duration = Duration::from_secs(4);
-/// For a shared service to take a call and to answer it: calls wait in turn there, and one that is given up has cost its
-/// work in vain.
-const TURN: Duration = Duration::from_secs(2);
-/// Between the last moment at which a shared service was asked, or a line of it heard, and the next call: with the turn
-/// that its answer takes, nothing that it has stays unheard for longer than it takes to count as told, whatever becomes of
-/// the calls.
-const ASK_WITHIN: Duration = TOLD_AFTER.saturating_sub(TURN);
-/// By which a line of a shared service may be late before the watch counts as lost.
-const LATE: Duration = Duration::from_millis(600);
-/// The shortest and the longest step between calls to an agent, whatever grace the settings give.
-const STEP: (Duration, Duration) = (Duration::from_millis(25), Duration::from_millis(250));
-/// Steps in the grace that drains have: a call at the last moment before a change, one after it, and room for both.
-const STEPS: u32 = 4;
-/// One call in so many is waited for as long as a shared service's: an agent on a machine that is short of time is slow.
-const PATIENT: u32 = 8;
-/// Nor are such calls begun more often: they bound how many are open at once.
-const PATIENT_EVERY: Duration = Duration::from_millis(500);
-/// The first wait after a call in vain to a shared service: so much for each conductor that may have been refused with this
-/// one, up to [`ASK_WITHIN`], as far as every wait grows.
-const REFUSED_EACH: Duration = Duration::from_millis(50);
+/// Interval at which a watch sends an empty line while nothing changes.
+pub const WATCH_LINE_INTERVAL: Duration = Duration::from_secs(2);
+/// A change that a watch misses counts as announced this long after the watch fell silent; any other change, this long after
+/// discovery has it.
+pub const ANNOUNCEMENT_DELAY: Duration = Duration::from_secs(6);
+/// After a change of discovery's address, its contents count as announced this long after SIGHUP.
+pub const ANNOUNCEMENT_DELAY_AFTER_MOVE: Duration = Duration::from_secs(4);
+/// Time for a shared service to accept and answer a call. Calls queue there, and a call that is abandoned has cost the service
+/// its work for nothing.
+const SHARED_CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest time from the last call to a shared service, or the last line received from it, to the next call. Together with
+/// [`SHARED_CALL_TIMEOUT`] it keeps every change within [`ANNOUNCEMENT_DELAY`], whatever the outcome of the calls.
+const MAX_CALL_GAP: Duration = ANNOUNCEMENT_DELAY.saturating_sub(SHARED_CALL_TIMEOUT);
+/// Time by which a line of a shared service may be late before the watch counts as lost.
+const SHARED_LINE_TOLERANCE: Duration = Duration::from_millis(600);
+/// Shortest and longest interval between calls to an agent, whatever drain grace the settings give.
+const AGENT_STEP_RANGE: (Duration, Duration) = (Duration::from_millis(25), Duration::from_millis(250));
+/// Number of steps in the drain grace: one call at the last moment before a change, one after it, and room for both.
+const STEPS_PER_GRACE: u32 = 4;
+/// One in this many calls to an agent gets the timeout of a shared service: an agent on a machine short of CPU time is slow.
+const LONG_CALL_EVERY: u32 = 8;
+/// Shortest interval between calls with the long timeout, which bounds the number of them that are open at once.
+const MIN_LONG_CALL_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay after the first refused call to a shared service, per conductor that may have been refused at the same time. Like every
+/// later delay it grows to at most [`MAX_CALL_GAP`].
+const REFUSED_DELAY_PER_CONDUCTOR: Duration = Duration::from_millis(50);
 
-/// Why discovery is to be asked now.
+/// Why discovery has to be called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum CallReason {
     /// The process has just started.
     Start,
-    /// Discovery is at another address.
-    Moved,
+    /// The address of discovery changed.
+    AddressChanged,
     /// A watch fell silent, ended or broke.
-    Watch,
-    /// A call found nobody, or no answer in time.
-    Call,
-    /// A call was turned away: the service has more than it can do.
+    WatchLost,
+    /// A call could not connect or was not answered in time.
+    CallFailed,
+    /// A call was refused because the service is overloaded.
     Refused,
 }
 
-/// How long a call is waited for, each from its begin on.
+/// The timeouts of a call, each measured from its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallTimeouts {
-    /// For its answer: the head of a watch, the whole of a list.
+    /// Time until the answer: the response head of a watch, or the whole of a full list.
     pub answer: Duration,
-    /// For the first bytes on a watch, which brings a line at least every [`LINE_EVERY`].
-    pub first_line: Duration,
+    /// Time until the first bytes on a watch, which sends a line at least every [`WATCH_LINE_INTERVAL`].
+    pub first_bytes: Duration,
 }
 
-/// The waits of one conductor.
+/// The schedule of one conductor's calls to discovery.
 #[derive(Clone, Debug)]
-pub struct Pace {
-    /// Between calls to an agent; none where a service is shared.
-    step: Option<Duration>,
+pub struct CallSchedule {
+    /// Interval between calls to an agent; none for a shared service.
+    agent_step: Option<Duration>,
     backoff: Backoff,
-    calls: u32,
+    call_count: u32,
 }
 
-impl Pace {
-    /// The waits that these settings ask for.
+impl CallSchedule {
+    /// Creates the schedule for these settings.
     pub fn new(settings: &Settings, seed: u64) -> Self {
         let grace = span(settings.rules.drain_grace);
-        let step = (!settings.ask_for_list).then(|| (grace / STEPS).clamp(STEP.0, STEP.1));
-        let first = REFUSED_EACH.saturating_mul(settings.routers).clamp(STEP.1, ASK_WITHIN);
-        // An agent that turns a call away is asked again within the grace: nobody else is in its way.
-        let (first, most) = step.map_or((first, ASK_WITHIN), |step| (step, step * STEPS / 2));
-        Pace { step, backoff: Backoff::new(first, most, seed), calls: 0 }
+        let agent_step = (!settings.ask_for_list)
+            .then(|| (grace / STEPS_PER_GRACE).clamp(AGENT_STEP_RANGE.0, AGENT_STEP_RANGE.1));
+        let initial_delay = REFUSED_DELAY_PER_CONDUCTOR
+            .saturating_mul(settings.routers)
+            .clamp(AGENT_STEP_RANGE.1, MAX_CALL_GAP);
+        // An agent that refuses a call is called again within the grace, as no other conductor competes for it.
+        let (initial_delay, max_delay) = agent_step.map_or((initial_delay, MAX_CALL_GAP), |agent_step| {
+            (agent_step, agent_step * STEPS_PER_GRACE / 2)
+        });
+        CallSchedule { agent_step, backoff: Backoff::new(initial_delay, max_delay, seed), call_count: 0 }
     }
 
-    /// Silence after which a watch is lost.
-    pub fn silence(&self) -> Duration {
-        LINE_EVERY + self.step.unwrap_or(LATE)
+    /// Returns the time without bytes after which a watch counts as lost.
+    pub fn watch_timeout(&self) -> Duration {
+        WATCH_LINE_INTERVAL + self.agent_step.unwrap_or(SHARED_LINE_TOLERANCE)
     }
 
-    /// How long the next call is waited for.
-    pub fn timeouts(&mut self) -> CallTimeouts {
-        self.calls = self.calls.wrapping_add(1);
-        match self.step {
-            Some(step)
-                if !self.calls.is_multiple_of(PATIENT.max(PATIENT_EVERY.div_duration_f64(step) as u32)) =>
+    /// Counts a call and returns its timeouts.
+    pub fn next_timeouts(&mut self) -> CallTimeouts {
+        self.call_count = self.call_count.wrapping_add(1);
+        match self.agent_step {
+            Some(agent_step)
+                if !self.call_count.is_multiple_of(
+                    LONG_CALL_EVERY.max(MIN_LONG_CALL_INTERVAL.div_duration_f64(agent_step) as u32),
+                ) =>
             {
-                CallTimeouts { answer: step * STEPS, first_line: step * STEPS }
+                CallTimeouts {
+                    answer: agent_step * STEPS_PER_GRACE,
+                    first_bytes: agent_step * STEPS_PER_GRACE,
+                }
             }
-            _ => CallTimeouts { answer: TURN, first_line: TURN + self.silence() },
+            _ => CallTimeouts {
+                answer: SHARED_CALL_TIMEOUT,
+                first_bytes: SHARED_CALL_TIMEOUT + self.watch_timeout(),
+            },
         }
     }
 
-    /// After which a call is begun beside those that are not answered yet. An agent on the own machine answers at once and at
-    /// no cost, and what it has counts as told at once; at a shared service this only bounds what becomes of a call.
-    pub fn beside(&self) -> Duration {
-        self.step.unwrap_or(ASK_WITHIN)
+    /// Returns the time after which another call is started while earlier ones are unanswered. An agent answers at once and
+    /// cheaply, and its changes count as announced immediately; for a shared service this only bounds how long a call that hangs
+    /// delays the next one.
+    pub fn hedge_delay(&self) -> Duration {
+        self.agent_step.unwrap_or(MAX_CALL_GAP)
     }
 
-    /// The wait before the next call; `unheard` for so long now nothing was heard and no call was begun.
-    pub fn after(&mut self, cause: Cause, unheard: Duration) -> Duration {
-        if let Some(step) = self.step {
-            return match cause {
-                Cause::Refused => self.backoff.after(Duration::ZERO, Duration::MAX),
-                Cause::Call => step,
-                Cause::Start | Cause::Moved | Cause::Watch => Duration::ZERO,
+    /// Returns the delay before the next call. `unheard` is the time since the last byte was received or call was started.
+    pub fn next_delay(&mut self, reason: CallReason, unheard: Duration) -> Duration {
+        if let Some(agent_step) = self.agent_step {
+            return match reason {
+                CallReason::Refused => self.backoff.next_delay(Duration::ZERO, Duration::MAX),
+                CallReason::CallFailed => agent_step,
+                CallReason::Start | CallReason::AddressChanged | CallReason::WatchLost => Duration::ZERO,
             };
         }
-        // All conductors lose a shared service, or start, in the same moment: their calls are spread over what is left until
-        // what they missed counts as told.
-        let left = ASK_WITHIN.saturating_sub(unheard);
-        match cause {
-            Cause::Start => self.backoff.within(TURN / 2),
-            Cause::Moved => self.backoff.within(MOVED_TOLD_AFTER - TURN),
-            Cause::Watch => self.backoff.within(left),
-            // In vain: the later, the less a service is asked that has more than it can do.
-            Cause::Call | Cause::Refused => self.backoff.after(Duration::ZERO, left),
+        // All conductors lose a shared service, or start, at the same moment. Their calls are spread over the time that is left
+        // until the missed changes count as announced.
+        let time_left = MAX_CALL_GAP.saturating_sub(unheard);
+        match reason {
+            CallReason::Start => self.backoff.random_delay(SHARED_CALL_TIMEOUT / 2),
+            CallReason::AddressChanged => {
+                self.backoff.random_delay(ANNOUNCEMENT_DELAY_AFTER_MOVE - SHARED_CALL_TIMEOUT)
+            }
+            CallReason::WatchLost => self.backoff.random_delay(time_left),
+            // Each failed call lengthens the delay, which takes load off an overloaded service.
+            CallReason::CallFailed | CallReason::Refused => {
+                self.backoff.next_delay(Duration::ZERO, time_left)
+            }
         }
     }
 
-    /// What the loss of a watch that lasted so long is. One that is taken and dropped at once shows a service as overbooked
-    /// as one that refuses; an agent that does so is not asked in a hot loop.
-    pub fn lost(&self, lasted: Duration, silent: bool) -> Cause {
-        match self.step {
-            _ if silent || lasted >= LINE_EVERY => Cause::Watch,
-            Some(_) => Cause::Call,
-            None => Cause::Refused,
+    /// Classifies the loss of a watch that was open this long. A shared service that accepts a watch and drops it at once is as
+    /// overloaded as one that refuses it; for an agent it counts as a failed call, so that it is not called in a tight loop.
+    pub fn loss_reason(&self, open_time: Duration, is_silent: bool) -> CallReason {
+        match self.agent_step {
+            _ if is_silent || open_time >= WATCH_LINE_INTERVAL => CallReason::WatchLost,
+            Some(_) => CallReason::CallFailed,
+            None => CallReason::Refused,
         }
     }
 
-    /// Discovery is heard, or is elsewhere now.
+    /// Resets the backoff after a list was received or the address of discovery changed.
     pub fn reset(&mut self) {
         self.backoff.reset();
     }
--- a/src/node/list/start_times.rs
+++ b/src/node/list/start_times.rs
@@ -1,98 +1,103 @@
-//! When instances started, on the monotonic clock. Discovery tells starts as Unix times, and the wall clock may be stepped by
-//! seconds or an hour, forward or back: between a start and the moment in which it is told, or at any other time. A start that
-//! was placed on the monotonic clock once stays there. It does no I/O and reads no clock.
+//! Start times of instances on the monotonic clock. Discovery reports a start as Unix time, but the wall clock may be stepped
+//! forward or back, by seconds or by an hour, at any time, also between a start and its report. A start that was converted to
+//! the monotonic clock once therefore keeps its value. The module does no I/O and reads no clock.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::api::Micros;
 
-/// Two readings that differ by less are taken for one clock that is slewed, or read slowly.
-const STEP_LEAST: Micros = 400_000;
-/// For so long after a step was noticed a start may still be told by the clock before it.
-const STAMPED_BEFORE: Micros = 60_000_000;
-/// Steps that are remembered.
-const STEPS_MOST: usize = 8;
+/// Smallest change of the offset between the clocks that counts as a step; a smaller one comes from slewing or a slow reading.
+const MIN_CLOCK_STEP_US: Micros = 400_000;
+/// How long after a step was noticed a start may still be reported by the clock from before it.
+const OLD_OFFSET_RETENTION_US: Micros = 60_000_000;
+/// Number of offsets that are kept, the current one included.
+const MAX_OFFSETS: usize = 8;
 
-/// Both clocks, read in one moment.
+/// Both clocks, read at the same moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
-    /// The module's clock, which is monotonic.
-    pub now: Micros,
-    /// The wall clock, as Unix time.
+    /// The decision module's clock, which is monotonic.
+    pub monotonic: Micros,
+    /// The wall clock, as Unix time in microseconds.
     pub unix: Micros,
 }
 
-/// How far the wall clock was ahead of the module's clock.
+/// An offset between the wall clock and the monotonic clock.
 #[derive(Clone, Copy, Debug)]
-struct Offset {
+struct ClockOffset {
+    /// How far the wall clock was ahead of the monotonic clock.
     ahead: Micros,
-    /// When a step was noticed that ended it.
-    until: Option<Micros>,
+    /// When the step was noticed that ended this offset; none for the current one.
+    ended_at: Option<Micros>,
 }
 
-/// A start as it was told, and where it stands on the module's clock.
+/// The last start of an instance.
 #[derive(Clone, Copy, Debug)]
 struct Start {
-    told_ms: i64,
-    at: Micros,
+    /// The start as reported, in Unix milliseconds.
+    reported_ms: i64,
+    /// The start on the monotonic clock.
+    started_at: Micros,
 }
 
-/// Places starts of instances on the module's clock.
+/// Converts start times of instances to the monotonic clock.
 #[derive(Debug, Default)]
 pub struct StartTimes {
-    /// The latest first.
-    offsets: VecDeque<Offset>,
+    /// The offsets of the clocks, the latest first.
+    offsets: VecDeque<ClockOffset>,
     starts: HashMap<String, Start>,
 }
 
 impl StartTimes {
-    /// Takes a reading of the clocks, and notices a step of the wall clock since the one before.
-    pub fn read(&mut self, reading: ClockReading) {
-        let ahead = reading.unix - reading.now;
+    /// Takes a reading of the clocks, and detects a step of the wall clock since the last one.
+    pub fn update_clock(&mut self, reading: ClockReading) {
+        let ahead = reading.unix - reading.monotonic;
         match self.offsets.front_mut() {
-            Some(offset) if (offset.ahead - ahead).abs() < STEP_LEAST => offset.ahead = ahead,
+            Some(offset) if (offset.ahead - ahead).abs() < MIN_CLOCK_STEP_US => offset.ahead = ahead,
             latest => {
                 if let Some(offset) = latest {
-                    tracing::warn!("clock: stepped by {} ms", (ahead - offset.ahead) / 1_000);
-                    offset.until = Some(reading.now);
+                    tracing::warn!("clock: wall clock stepped by {} ms", (ahead - offset.ahead) / 1_000);
+                    offset.ended_at = Some(reading.monotonic);
                 }
-                self.offsets.push_front(Offset { ahead, until: None });
+                self.offsets.push_front(ClockOffset { ahead, ended_at: None });
             }
         }
-        let matters = |until: Micros| reading.now < until.saturating_add(STAMPED_BEFORE);
-        self.offsets.retain(|offset| offset.until.is_none_or(matters));
-        self.offsets.truncate(STEPS_MOST);
+        let is_recent =
+            |ended_at: Micros| reading.monotonic < ended_at.saturating_add(OLD_OFFSET_RETENTION_US);
+        self.offsets.retain(|offset| offset.ended_at.is_none_or(is_recent));
+        self.offsets.truncate(MAX_OFFSETS);
     }
 
-    /// When an instance started of which this Unix time in milliseconds is told; none for 0, which means long ago. Of the
-    /// moments that it may be, the latest one: a cold instance must not pass for a warm one.
-    pub fn started(&mut self, now: Micros, id: &str, told_ms: i64) -> Option<Micros> {
-        if told_ms <= 0 {
+    /// Returns when an instance started whose start is reported as this Unix time in milliseconds, or none for 0, which means long
+    /// ago. If several offsets may apply, the latest start not after `now` is taken: a cold instance must not be taken for a warm
+    /// one.
+    pub fn start_time(&mut self, now: Micros, id: &str, reported_ms: i64) -> Option<Micros> {
+        if reported_ms <= 0 {
             self.starts.remove(id);
             return None;
         }
-        if let Some(known) = self.starts.get(id).filter(|known| known.told_ms == told_ms) {
-            return Some(known.at);
+        if let Some(known) = self.starts.get(id).filter(|known| known.reported_ms == reported_ms) {
+            return Some(known.started_at);
         }
-        let told = told_ms.saturating_mul(1_000);
-        let moments = self.offsets.iter().map(|offset| told.saturating_sub(offset.ahead));
-        let at = moments.filter(|at| *at <= now).max().unwrap_or(now);
-        self.starts.insert(id.to_owned(), Start { told_ms, at });
-        Some(at)
+        let reported = reported_ms.saturating_mul(1_000);
+        let candidates = self.offsets.iter().map(|offset| reported.saturating_sub(offset.ahead));
+        let started_at = candidates.filter(|started_at| *started_at <= now).max().unwrap_or(now);
+        self.starts.insert(id.to_owned(), Start { reported_ms, started_at });
+        Some(started_at)
     }
 
-    /// The instance started just now, whatever Unix time is told of it until another one is.
-    pub fn restarted(&mut self, now: Micros, id: &str, told_ms: i64) {
-        self.starts.insert(id.to_owned(), Start { told_ms, at: now });
+    /// Records that an instance started now. This holds until another start than `reported_ms` is reported for it.
+    pub fn record_restart(&mut self, now: Micros, id: &str, reported_ms: i64) {
+        self.starts.insert(id.to_owned(), Start { reported_ms, started_at: now });
     }
 
-    /// Forgets all instances but these.
-    pub fn retain(&mut self, listed: impl Fn(&str) -> bool) {
-        self.starts.retain(|id, _| listed(id));
+    /// Removes all instances but the listed ones.
+    pub fn retain(&mut self, is_listed: impl Fn(&str) -> bool) {
+        self.starts.retain(|id, _| is_listed(id));
     }
 
-    /// Forgets an instance.
-    pub fn forget(&mut self, id: &str) {
+    /// Removes an instance.
+    pub fn remove(&mut self, id: &str) {
         self.starts.remove(id);
     }
 }
--- a/src/node/list/start_times/tests.rs
+++ b/src/node/list/start_times/tests.rs
@@ -1,113 +1,125 @@
 use super::*;
 
-const S: Micros = 1_000_000;
-const HOUR: Micros = 3_600 * S;
-/// The wall clock at the module's zero, in microseconds.
-const EPOCH: Micros = 1_796_000_000 * S;
-/// Every step that is tried.
-const STEPS: [Micros; 6] = [-HOUR, -5 * S, -S, S, 5 * S, HOUR];
+const SECOND: Micros = 1_000_000;
+const HOUR: Micros = 3_600 * SECOND;
+/// The wall clock when the monotonic clock is zero.
+const UNIX_AT_ZERO: Micros = 1_796_000_000 * SECOND;
+/// The steps of the wall clock that are tested.
+const STEPS: [Micros; 6] = [-HOUR, -5 * SECOND, -SECOND, SECOND, 5 * SECOND, HOUR];
 
-/// The clocks at this time of the module's, with the wall clock so far ahead of where it began.
-fn reading(now: Micros, stepped: Micros) -> ClockReading {
-    ClockReading { now, unix: EPOCH + now + stepped }
+/// Returns a reading at this monotonic time, with the wall clock stepped by this much since the beginning.
+fn reading(monotonic: Micros, step: Micros) -> ClockReading {
+    ClockReading { monotonic, unix: UNIX_AT_ZERO + monotonic + step }
 }
 
-/// A start at this time, as the wall clock shows it.
-fn told(at: Micros, stepped: Micros) -> i64 {
-    reading(at, stepped).unix / 1_000
+/// Returns the Unix time in milliseconds that is reported for a start at this monotonic time.
+fn reported_ms(started_at: Micros, step: Micros) -> i64 {
+    reading(started_at, step).unix / 1_000
 }
 
 #[test]
-fn without_a_step_a_start_is_where_the_wall_clock_says() {
-    let mut starts = StartTimes::default();
-    starts.read(reading(100 * S, 0));
-    assert_eq!(starts.started(100 * S, "a", told(97 * S, 0)), Some(97 * S));
-    assert_eq!(starts.started(100 * S, "b", told(-500 * S, 0)), Some(-500 * S));
-    assert_eq!(starts.started(100 * S, "c", 0), None, "long ago");
+fn without_a_step_a_start_is_converted_by_the_current_offset() {
+    let mut start_times = StartTimes::default();
+    start_times.update_clock(reading(100 * SECOND, 0));
+    assert_eq!(start_times.start_time(100 * SECOND, "a", reported_ms(97 * SECOND, 0)), Some(97 * SECOND));
+    assert_eq!(start_times.start_time(100 * SECOND, "b", reported_ms(-500 * SECOND, 0)), Some(-500 * SECOND));
+    assert_eq!(start_times.start_time(100 * SECOND, "c", 0), None, "long ago");
 }
 
-/// A slow reading is no step, and neither is a clock that is slewed by little each time.
+/// A slow reading, or a clock that is slewed by a little each time, must not be taken for a step.
 #[test]
-fn what_drifts_is_followed_and_no_step() {
-    let mut starts = StartTimes::default();
+fn a_slewed_clock_is_followed_without_a_step() {
+    let mut start_times = StartTimes::default();
     for n in 0..100 {
-        starts.read(reading(n * S, n * 150_000));
+        start_times.update_clock(reading(n * SECOND, n * 150_000));
     }
-    assert_eq!(starts.offsets.len(), 1);
-    assert_eq!(starts.started(99 * S, "a", told(98 * S, 99 * 150_000)), Some(98 * S));
+    assert_eq!(start_times.offsets.len(), 1);
+    assert_eq!(
+        start_times.start_time(99 * SECOND, "a", reported_ms(98 * SECOND, 99 * 150_000)),
+        Some(98 * SECOND)
+    );
 }
 
 #[test]
-fn a_start_after_a_step_is_where_it_was() {
+fn a_start_after_a_step_is_converted_by_the_new_offset() {
     for step in STEPS {
-        let mut starts = StartTimes::default();
-        starts.read(reading(100 * S, 0));
-        starts.read(reading(200 * S, step));
-        let at = starts.started(200 * S, "a", told(199_500_000, step)).expect("a start");
-        assert!((199_500_000..=200 * S).contains(&at), "{step}: {at}");
+        let mut start_times = StartTimes::default();
+        start_times.update_clock(reading(100 * SECOND, 0));
+        start_times.update_clock(reading(200 * SECOND, step));
+        let started_at =
+            start_times.start_time(200 * SECOND, "a", reported_ms(199_500_000, step)).expect("a start time");
+        assert!((199_500_000..=200 * SECOND).contains(&started_at), "{step}: {started_at}");
     }
 }
 
 #[test]
-fn a_start_before_a_step_that_is_told_after_it_does_not_pass_for_an_older_one() {
+fn a_start_before_a_step_reported_after_it_is_not_taken_for_an_older_one() {
     for step in STEPS {
-        let mut starts = StartTimes::default();
-        starts.read(reading(100 * S, 0));
-        starts.read(reading(200 * S, step));
-        let at = starts.started(200 * S, "a", told(199_500_000, 0)).expect("a start");
-        assert!((199_500_000..=200 * S).contains(&at), "{step}: {at}");
+        let mut start_times = StartTimes::default();
+        start_times.update_clock(reading(100 * SECOND, 0));
+        start_times.update_clock(reading(200 * SECOND, step));
+        let started_at =
+            start_times.start_time(200 * SECOND, "a", reported_ms(199_500_000, 0)).expect("a start time");
+        assert!((199_500_000..=200 * SECOND).contains(&started_at), "{step}: {started_at}");
     }
 }
 
 #[test]
-fn a_start_that_is_told_again_stays_where_it_is() {
+fn a_start_that_is_reported_again_keeps_its_time() {
     for step in STEPS {
-        let mut starts = StartTimes::default();
-        starts.read(reading(100 * S, 0));
-        let first = starts.started(100 * S, "a", told(95 * S, 0));
-        for now in [200 * S, 5_000 * S] {
-            starts.read(reading(now, step));
-            assert_eq!(starts.started(now, "a", told(95 * S, 0)), first, "{step}");
+        let mut start_times = StartTimes::default();
+        start_times.update_clock(reading(100 * SECOND, 0));
+        let first = start_times.start_time(100 * SECOND, "a", reported_ms(95 * SECOND, 0));
+        for now in [200 * SECOND, 5_000 * SECOND] {
+            start_times.update_clock(reading(now, step));
+            assert_eq!(start_times.start_time(now, "a", reported_ms(95 * SECOND, 0)), first, "{step}");
         }
     }
 }
 
-/// A process that starts behind a step knows nothing of it: what seems to lie ahead has just started.
+/// A process that starts after a step does not know of it: a start that seems to be in the future counts as one just now.
 #[test]
 fn a_start_in_the_future_counts_from_now() {
-    let mut starts = StartTimes::default();
-    starts.read(reading(100 * S, -HOUR));
-    assert_eq!(starts.started(100 * S, "a", told(99 * S, 0)), Some(100 * S));
-    starts.read(reading(103 * S, -HOUR));
-    assert_eq!(starts.started(103 * S, "a", told(99 * S, 0)), Some(100 * S), "and ages from there");
+    let mut start_times = StartTimes::default();
+    start_times.update_clock(reading(100 * SECOND, -HOUR));
+    assert_eq!(start_times.start_time(100 * SECOND, "a", reported_ms(99 * SECOND, 0)), Some(100 * SECOND));
+    start_times.update_clock(reading(103 * SECOND, -HOUR));
+    assert_eq!(
+        start_times.start_time(103 * SECOND, "a", reported_ms(99 * SECOND, 0)),
+        Some(100 * SECOND),
+        "the start stays at the time of its first report"
+    );
 }
 
-/// An instance that operators bring back is cold, also where the wall clock has gone back behind its last start.
+/// An instance whose ban was lifted is cold, also if the wall clock was stepped back to before its last start.
 #[test]
-fn a_return_holds_until_another_start_is_told() {
-    let mut starts = StartTimes::default();
-    starts.read(reading(100 * S, 0));
-    let listed = told(95 * S, 0);
-    assert_eq!(starts.started(100 * S, "a", listed), Some(95 * S));
-    starts.read(reading(300 * S, -HOUR));
-    starts.restarted(300 * S, "a", listed);
-    assert_eq!(starts.started(310 * S, "a", listed), Some(300 * S));
-    assert_eq!(starts.started(400 * S, "a", told(399 * S, -HOUR)), Some(399 * S));
+fn a_restart_holds_until_another_start_is_reported() {
+    let mut start_times = StartTimes::default();
+    start_times.update_clock(reading(100 * SECOND, 0));
+    let listed_ms = reported_ms(95 * SECOND, 0);
+    assert_eq!(start_times.start_time(100 * SECOND, "a", listed_ms), Some(95 * SECOND));
+    start_times.update_clock(reading(300 * SECOND, -HOUR));
+    start_times.record_restart(300 * SECOND, "a", listed_ms);
+    assert_eq!(start_times.start_time(310 * SECOND, "a", listed_ms), Some(300 * SECOND));
+    assert_eq!(
+        start_times.start_time(400 * SECOND, "a", reported_ms(399 * SECOND, -HOUR)),
+        Some(399 * SECOND)
+    );
 }
 
 #[test]
-fn steps_and_instances_are_forgotten() {
-    let mut starts = StartTimes::default();
+fn old_offsets_and_unlisted_instances_are_removed() {
+    let mut start_times = StartTimes::default();
     for n in 0..100 {
-        starts.read(reading(n * S, n * HOUR));
+        start_times.update_clock(reading(n * SECOND, n * HOUR));
     }
-    assert_eq!(starts.offsets.len(), STEPS_MOST);
-    starts.read(reading(1_000 * S, 99 * HOUR));
-    assert_eq!(starts.offsets.len(), 1);
+    assert_eq!(start_times.offsets.len(), MAX_OFFSETS);
+    start_times.update_clock(reading(1_000 * SECOND, 99 * HOUR));
+    assert_eq!(start_times.offsets.len(), 1);
     for id in ["a", "b", "c"] {
-        starts.restarted(0, id, 1);
+        start_times.record_restart(0, id, 1);
     }
-    starts.retain(|id| id != "a");
-    starts.forget("b");
-    assert_eq!(starts.starts.len(), 1);
+    start_times.retain(|id| id != "a");
+    start_times.remove("b");
+    assert_eq!(start_times.starts.len(), 1);
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -68,9 +68,9 @@
     pub fn read(&self) -> ClockReading {
         let mut tries = 0;
         loop {
-            let reading = ClockReading { now: self.now(), unix: unix_micros() };
+            let reading = ClockReading { monotonic: self.now(), unix: unix_micros() };
             tries += 1;
-            if self.now() - reading.now < READ_WITHIN || tries == READ_TRIES {
+            if self.now() - reading.monotonic < READ_WITHIN || tries == READ_TRIES {
                 return reading;
             }
         }
--- a/src/node/process/config.rs
+++ b/src/node/process/config.rs
@@ -11,7 +11,7 @@
 
 use crate::api::{Class, ClassId, Effect, Kind, Micros, Role, Settings};
 use crate::node::front::spiffe::{Identities, Tls};
-use crate::node::list::membership::Targets;
+use crate::node::list::membership::TargetList;
 use crate::node::upstream::pool::PoolLimits;
 use crate::wire::{Names, settings_from};
 
@@ -42,7 +42,7 @@
     /// For random numbers.
     pub seed: u64,
     /// The last known list of hosts, perhaps old.
-    pub known: Option<Targets>,
+    pub known: Option<TargetList>,
     /// The module's settings.
     pub settings: Settings,
     /// Their names.
@@ -155,10 +155,10 @@
             .map_err(|_| format!("seed: \"{}\" is not a hexadecimal number", file.seed))?;
         // What cannot be read of the last known list is told by discovery.
         let known = file.known.as_ref().and_then(|known| {
-            let read =
-                Targets::read(known).inspect_err(|fault| tracing::warn!("known: {fault}; passed over"));
+            let read = TargetList::from_json(known)
+                .inspect_err(|fault| tracing::warn!("known: {fault}; passed over"));
             let (list, faults) = read.ok()?;
-            faults.line().inspect(|line| tracing::warn!("known: {line}"));
+            faults.summary().inspect(|line| tracing::warn!("known: {line}"));
             Some(list)
         });
         // Clients and instances get most of the descriptors; the rest is for clients who are only turned away.
--- a/src/node/process/succession.rs
+++ b/src/node/process/succession.rs
@@ -215,7 +215,7 @@
             }
             Effect::Note(happening) => self.shutdown.note(happening),
             Effect::Ban(id) => drop(self.fleet.ban(&id).await),
-            Effect::Lift(id) => drop(self.fleet.lift(&id).await),
+            Effect::Lift(id) => drop(self.fleet.lift_ban(&id).await),
             Effect::HangUp => {}
         }
     }
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -92,7 +92,7 @@
             ShareEvent::Others(spent) => planner.others(spent),
             ShareEvent::Reports(reports) => {
                 for (instance, report) in reports {
-                    let Some(host) = self.fleet.known(&instance) else { continue };
+                    let Some(host) = self.fleet.host(&instance) else { continue };
                     add(&self.fleet.core().counters.reports_heard);
                     let outcome = if report.failed { Outcome::Unreachable } else { Outcome::Served };
                     planner.probed(host, outcome, Some(report.load()).filter(|_| !report.failed));
@@ -125,9 +125,9 @@
             let _ = self.fleet.ban(id).await;
         }
         for id in before.difference(&out).filter(|id| membership.bans().contains_key(*id)) {
-            let _ = self.fleet.lift(id).await;
+            let _ = self.fleet.lift_ban(id).await;
         }
-        self.fleet.returned(&returns);
+        self.fleet.merge_returns(&returns);
     }
 
     /// Carries out what the planner wants of the fleet, but for probes that are another's duty.
@@ -167,7 +167,7 @@
     fn found(&self, host: HostId, outcome: Outcome, load: Option<&Load>) {
         let failed = matches!(outcome, Outcome::Unreachable | Outcome::TimedOut);
         let (in_flight, memory) = (load.and_then(|l| l.in_flight), load.and_then(|l| l.memory));
-        if let Some(id) = self.fleet.named(host) {
+        if let Some(id) = self.fleet.instance_id(host) {
             self.handle.tell(StateUpdate::Report(id, Report { failed, in_flight, memory }));
         }
     }
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -9,10 +9,10 @@
 use bytes::Bytes;
 use croftsill::api::{HostId, Outcome, Role, Settings};
 use croftsill::node::counters::Counters;
-use croftsill::node::list::discovery::Directory;
+use croftsill::node::list::discovery::DiscoveryClient;
 use croftsill::node::list::fleet::Fleet;
-use croftsill::node::list::membership::{Membership, Targets};
-use croftsill::node::list::pace::Pace;
+use croftsill::node::list::membership::{Membership, TargetList};
+use croftsill::node::list::pace::CallSchedule;
 use croftsill::node::planner::Planner;
 use croftsill::node::policy_gate::PolicyGate;
 use croftsill::node::process::readiness::Readiness;
@@ -200,7 +200,7 @@
     /// Conductors that would send to the instance.
     fn sending(&self) -> usize {
         let ready = |fleet: &&Rc<Fleet>| {
-            let host = fleet.known("r1").expect("it is listed");
+            let host = fleet.host("r1").expect("it is listed");
             fleet.core().upstream.pool().site(host).is_some_and(|site| site.ready)
         };
         self.fleets.iter().filter(ready).count()
@@ -241,15 +241,15 @@
     let (core, clock) = core(&settings, seed, 8);
     let mut known = Membership::default();
     let whole = line(&World { version: 1, ..World::default() }, true);
-    known.take(&Targets::parse(whole.as_bytes()).expect("a list").0).expect("the first list");
-    let pace = Pace::new(&settings, seed);
+    known.apply_list(&TargetList::parse(whole.as_bytes()).expect("a list").0).expect("the first list");
+    let pace = CallSchedule::new(&settings, seed);
     let fleet = Fleet::new(core, settings, names, clock, known);
     let (told, heard) = watch::channel(false);
     // Discovery stays where it is: the sender is kept by the task.
     let (moves, address) = watch::channel(address);
-    let directory = Directory::new(fleet.clone(), pace, told);
+    let directory = DiscoveryClient::new(fleet.clone(), pace, told);
     spawn_local(async move {
-        directory.follow(address).await;
+        directory.run(address).await;
         drop(moves);
     });
     (fleet, heard)
@@ -625,7 +625,7 @@
             }
             Act::Ban(out) => {
                 for fleet in &scene.fleets {
-                    let _ = if out { fleet.ban("r1").await } else { fleet.lift("r1").await };
+                    let _ = if out { fleet.ban("r1").await } else { fleet.lift_ban("r1").await };
                 }
                 banned = out;
             }
