--- a/src/control/controller/handle.rs
+++ b/src/control/controller/handle.rs
@@ -15,7 +15,7 @@
 use crate::replica::idempotency::{Decision, Name, Try};
 use crate::replica::marks::Subject;
 use crate::replica::share::Duties;
-use crate::replica::store::Report;
+use crate::replica::store::InstanceReport;
 
 /// What operators ask.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -62,7 +62,7 @@
     /// What the module has spent and learnt.
     Figures(Box<FleetEstimates>),
     /// How an instance was found.
-    Report(String, Report),
+    Report(String, InstanceReport),
     /// A named request is to be sent.
     Claim(Name, oneshot::Sender<(Decision, Option<Try>)>),
     /// Nothing was sent under this claim.
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -323,13 +323,13 @@
                 Some(format!("{name} is a member no longer"))
             }
             Command::Mark(marks) => {
-                if !marks.fits() || marks.within(&self.marks) {
+                if !marks.is_valid() || marks.is_included_in(&self.marks) {
                     return None;
                 }
                 self.marks.merge(marks);
                 // By a time that is the same wherever this entry is played.
-                self.marks.collect(marks.last().unwrap_or(Micros::MIN));
-                let out: Vec<_> = self.marks.all().map(|(subject, _)| subject.name()).collect();
+                self.marks.collect_garbage(marks.latest_dot_at().unwrap_or(Micros::MIN));
+                let out: Vec<_> = self.marks.iter().map(|(subject, _)| subject.name()).collect();
                 Some(format!(
                     "out by operators' word: {}",
                     if out.is_empty() { "none".into() } else { out.join(", ") }
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -17,8 +17,8 @@
 use crate::control::controller::{Handle, StateUpdate};
 use crate::replica::marks::{Marks, Subject};
 use crate::replica::share::ShareEvent;
-use crate::replica::store::Report;
-use crate::replica::sync::CATCH_UP_MOST;
+use crate::replica::store::InstanceReport;
+use crate::replica::sync::CATCH_UP_TIMEOUT_US;
 
 /// Between tellings of what was spent and learnt.
 const TELL: Duration = Duration::from_millis(200);
@@ -57,7 +57,7 @@
     pub async fn caught_up(&self) {
         let mut told = self.caught_up.subscribe();
         // The other thread has its own bound; this one only guards against its end.
-        let most = Duration::from_micros(2 * CATCH_UP_MOST as u64);
+        let most = Duration::from_micros(2 * CATCH_UP_TIMEOUT_US as u64);
         let well = timeout(most, told.wait_for(Option::is_some)).await;
         if !matches!(well, Ok(Ok(well)) if *well == Some(true)) {
             tracing::warn!("state: not caught up in time, this conductor serves with what it has");
@@ -99,7 +99,7 @@
                 }
             }
             ShareEvent::Marks(marks, returns) => {
-                let drained = marks.since(&Subject::Conductor(me.into())).is_some();
+                let drained = marks.marked_since(&Subject::Conductor(me.into())).is_some();
                 *self.marks.borrow_mut() = (marks, returns);
                 self.lay_marks().await;
                 if self.drained.replace(drained) != drained {
@@ -118,7 +118,7 @@
             Subject::Instance(id) => Some(id.clone()),
             Subject::Conductor(_) => None,
         };
-        let out: BTreeSet<String> = marks.all().filter_map(instance).collect();
+        let out: BTreeSet<String> = marks.iter().filter_map(instance).collect();
         let before = self.laid.replace(out.clone());
         let membership = self.fleet.membership();
         for id in out.iter().filter(|id| !membership.bans().contains_key(*id)) {
@@ -168,7 +168,7 @@
         let failed = matches!(outcome, Outcome::Unreachable | Outcome::TimedOut);
         let (in_flight, memory) = (load.and_then(|l| l.in_flight), load.and_then(|l| l.memory));
         if let Some(id) = self.fleet.named(host) {
-            self.handle.tell(StateUpdate::Report(id, Report { failed, in_flight, memory }));
+            self.handle.tell(StateUpdate::Report(id, InstanceReport { failed, in_flight, memory }));
         }
     }
 }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -13,7 +13,7 @@
 use crate::ledger::types::Message;
 use crate::replica::duty::{Ask, Lease};
 use crate::replica::idempotency::{Answer, Name, Try};
-use crate::replica::sync::Say;
+use crate::replica::sync::SyncMessage;
 
 /// The version of what crosses a link. One that speaks a later version says to others only what theirs knows.
 pub const VERSION: u16 = 3;
@@ -116,7 +116,7 @@
     /// The answer.
     Observed(Box<Observed>),
     /// Between two copies of shared state.
-    State(Say),
+    State(SyncMessage),
     /// To the leader: may I do duties?
     DutyAsk(Ask),
     /// The answer.
--- a/src/replica/clock.rs
+++ b/src/replica/clock.rs
@@ -1,59 +1,66 @@
-//! Hybrid logical clocks (Kulkarni et al., 2014), bounded: who wrote last, though clocks differ, and though one of them jumps.
+//! Bounded hybrid logical clocks (Kulkarni et al., 2014). They order the writes of different conductors
+//! although their clocks differ, and limit the effect of a clock that jumps ahead.
 
 use serde::{Deserialize, Serialize};
 
 use super::Owner;
 use crate::api::Micros;
 
-/// A stamp that is further ahead of the reader's clock is turned away.
-pub const AHEAD_MOST: Micros = 10_000_000;
+/// A timestamp that is further ahead of the local clock than this is rejected, in microseconds.
+pub const MAX_CLOCK_SKEW_US: Micros = 10_000_000;
 
-/// When something was written, and by whom. The greatest is the last.
+/// A hybrid logical timestamp: when something was written, and by whom. The greatest timestamp is the latest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Stamp {
-    /// The time.
-    pub at: Micros,
-    /// Tells apart what was written at the same time.
-    pub turn: u32,
-    /// The writer.
-    pub by: Owner,
+pub struct Timestamp {
+    /// The physical time of the write, in microseconds.
+    #[serde(rename = "at")]
+    pub time: Micros,
+    /// The logical counter, which orders writes with the same physical time.
+    #[serde(rename = "turn")]
+    pub counter: u32,
+    /// The conductor that wrote.
+    #[serde(rename = "by")]
+    pub writer: Owner,
 }
 
-impl Stamp {
-    /// Whether this clock may believe it.
-    pub fn credible(&self, now: Micros) -> bool {
-        self.at <= now.saturating_add(AHEAD_MOST)
+impl Timestamp {
+    /// Returns whether the timestamp is at most [`MAX_CLOCK_SKEW_US`] ahead of `now`.
+    pub fn is_credible(&self, now: Micros) -> bool {
+        self.time <= now.saturating_add(MAX_CLOCK_SKEW_US)
     }
 }
 
-/// One writer's clock.
+/// The hybrid logical clock of one writer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Hybrid {
-    last: Stamp,
+pub struct HybridClock {
+    latest: Timestamp,
 }
 
-impl Hybrid {
-    /// The clock of a writer that has written nothing.
-    pub fn new(by: Owner) -> Self {
-        Hybrid { last: Stamp { at: Micros::MIN, turn: 0, by } }
+impl HybridClock {
+    /// Returns the clock of a writer that has written nothing yet.
+    pub fn new(writer: Owner) -> Self {
+        HybridClock { latest: Timestamp { time: Micros::MIN, counter: 0, writer } }
     }
 
-    /// A stamp for what is written now: later than all that was stamped or heard here. A clock that was set back by more
-    /// than [`AHEAD_MOST`] starts anew, as nobody believes what it said.
-    pub fn stamp(&mut self, now: Micros) -> Stamp {
-        let Stamp { at, turn, by } = self.last;
-        self.last = if now > at || !self.last.credible(now) {
-            Stamp { at: now, turn: 0, by }
+    /// Returns a timestamp for a write at `now` that is later than all timestamps issued or observed here. If
+    /// the physical clock was set back by more than [`MAX_CLOCK_SKEW_US`], the clock restarts at `now`,
+    /// because other replicas reject the timestamps that it issued before.
+    pub fn next_timestamp(&mut self, now: Micros) -> Timestamp {
+        let Timestamp { time, counter, writer } = self.latest;
+        self.latest = if now > time || !self.latest.is_credible(now) {
+            Timestamp { time: now, counter: 0, writer }
         } else {
-            Stamp { at, turn: turn.saturating_add(1), by }
+            Timestamp { time, counter: counter.saturating_add(1), writer }
         };
-        self.last
+        self.latest
     }
 
-    /// Another's stamp was taken in.
-    pub fn hear(&mut self, now: Micros, heard: Stamp) {
-        if heard.credible(now) && (heard.at, heard.turn) > (self.last.at, self.last.turn) {
-            (self.last.at, self.last.turn) = (heard.at, heard.turn);
+    /// Advances the clock past another writer's timestamp, unless that timestamp is not credible.
+    pub fn observe(&mut self, now: Micros, observed: Timestamp) {
+        if observed.is_credible(now)
+            && (observed.time, observed.counter) > (self.latest.time, self.latest.counter)
+        {
+            (self.latest.time, self.latest.counter) = (observed.time, observed.counter);
         }
     }
 }
--- a/src/replica/marks.rs
+++ b/src/replica/marks.rs
@@ -1,23 +1,25 @@
-//! What operators decided of instances and conductors: an observed-remove set without tombstones (Bieniusa et al., 2012).
+//! Operators' decisions about instances and conductors, as an observed-remove set without tombstones
+//! (Bieniusa et al., 2012).
 //!
-//! Each mark has a dot, the run of the process that set it and a count there. A copy knows which dots it has seen; what it has
-//! seen and does not hold was lifted. So a lift takes away the marks that it has seen and no others, and a mark set at the same time
-//! elsewhere stays.
+//! Each mark is identified by a dot: the session of the process that set it, and a counter within that
+//! session. A replica's version vector records which dots it has seen. A dot that was seen and is no longer
+//! present was removed. So a removal affects only the marks that its replica had seen, and a mark that is set
+//! concurrently elsewhere stays.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use super::HORIZON;
+use super::TOMBSTONE_RETENTION_US;
 use crate::api::Micros;
 use crate::control::state::Session;
 
-/// Most marks at once: bounds what hostile words could make.
-pub const MARKS_MOST: usize = 4_096;
-/// Longest name of a subject, in bytes.
-pub const SUBJECT_MOST: usize = 128;
+/// The maximum number of marked subjects. It bounds the memory that malformed or hostile messages can take.
+pub const MAX_MARKS: usize = 4_096;
+/// The maximum length of a subject's name, in bytes.
+pub const MAX_SUBJECT_NAME_BYTES: usize = 128;
 
-/// What a mark is on.
+/// The instance or conductor that a mark applies to, by name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Subject {
     /// An instance that is out for maintenance.
@@ -27,162 +29,182 @@
 }
 
 impl Subject {
-    /// Its name.
+    /// Returns the name of the instance or conductor.
     pub fn name(&self) -> &str {
         let (Subject::Instance(name) | Subject::Conductor(name)) = self;
         name
     }
 }
 
-/// Tells marks apart.
+/// The unique id of a mark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Dot {
-    /// The process that set it.
-    pub by: Session,
-    /// Its count there, from 1.
-    pub n: u64,
+    /// The session of the process that set the mark.
+    #[serde(rename = "by")]
+    pub session: Session,
+    /// The number of the mark within that session, from 1.
+    #[serde(rename = "n")]
+    pub counter: u64,
 }
 
-/// How far a process's dots are known.
+/// The entry of one session in a version vector: the latest dot that is known of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Known {
-    /// The last one.
-    pub n: u64,
-    /// When that was set.
-    pub at: Micros,
+pub struct VersionEntry {
+    /// The counter of the session's latest dot.
+    #[serde(rename = "n")]
+    pub counter: u64,
+    /// When that dot was created.
+    #[serde(rename = "at")]
+    pub created_at: Micros,
 }
 
-/// The marks that hold, with the time at which each was set, and all dots that were ever seen.
+/// The present marks, each with the time since which its subject is marked, and the version vector of all
+/// dots seen.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Marks {
-    seen: BTreeMap<Session, Known>,
-    #[serde(with = "pairs")]
-    held: BTreeMap<Subject, BTreeMap<Dot, Micros>>,
+    #[serde(rename = "seen")]
+    version_vector: BTreeMap<Session, VersionEntry>,
+    #[serde(rename = "held", with = "pairs")]
+    dots_by_subject: BTreeMap<Subject, BTreeMap<Dot, Micros>>,
 }
 
-/// As lists of pairs, since some forms have only texts for keys.
+/// Encodes the marks as lists of pairs, because formats such as JSON allow only strings as map keys.
 mod pairs {
     use super::*;
     use serde::{Deserializer, Serializer};
 
-    type Held = BTreeMap<Subject, BTreeMap<Dot, Micros>>;
+    type DotsBySubject = BTreeMap<Subject, BTreeMap<Dot, Micros>>;
 
-    pub fn serialize<S: Serializer>(held: &Held, to: S) -> Result<S::Ok, S::Error> {
-        to.collect_seq(held.iter().map(|(subject, dots)| (subject, dots.iter().collect::<Vec<_>>())))
+    pub fn serialize<S: Serializer>(marks: &DotsBySubject, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_seq(marks.iter().map(|(subject, dots)| (subject, dots.iter().collect::<Vec<_>>())))
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Held, D::Error> {
-        let pairs = Vec::<(Subject, Vec<(Dot, Micros)>)>::deserialize(from)?;
+    pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<DotsBySubject, D::Error> {
+        let pairs = Vec::<(Subject, Vec<(Dot, Micros)>)>::deserialize(deserializer)?;
         Ok(pairs.into_iter().map(|(subject, dots)| (subject, dots.into_iter().collect())).collect())
     }
 }
 
 impl Marks {
-    /// Sets a mark, in place of those on the same that are seen here. None where there are too many, or its name is too long.
-    pub fn set(&mut self, by: Session, subject: Subject, at: Micros) -> Option<Dot> {
-        if self.held.len() >= MARKS_MOST && !self.held.contains_key(&subject)
+    /// Marks a subject and replaces its marks that were seen here. Returns the new mark's dot, or `None` if
+    /// there are too many marks or the subject's name is empty or too long.
+    pub fn add(&mut self, session: Session, subject: Subject, created_at: Micros) -> Option<Dot> {
+        if self.dots_by_subject.len() >= MAX_MARKS && !self.dots_by_subject.contains_key(&subject)
             || subject.name().is_empty()
-            || subject.name().len() > SUBJECT_MOST
+            || subject.name().len() > MAX_SUBJECT_NAME_BYTES
         {
             return None;
         }
-        let known = self.seen.entry(by).or_default();
-        *known = Known { n: known.n + 1, at };
-        let dot = Dot { by, n: known.n };
-        // It is marked since the first of them.
-        let since = self.since(&subject).unwrap_or(at);
-        self.held.insert(subject, BTreeMap::from([(dot, since)]));
+        let entry = self.version_vector.entry(session).or_default();
+        *entry = VersionEntry { counter: entry.counter + 1, created_at };
+        let dot = Dot { session, counter: entry.counter };
+        // The subject counts as marked since the earliest of the replaced marks.
+        let since = self.marked_since(&subject).unwrap_or(created_at);
+        self.dots_by_subject.insert(subject, BTreeMap::from([(dot, since)]));
         Some(dot)
     }
 
-    /// Lifts all marks on this that are seen here, and says which. None where there are none.
-    pub fn lift(&mut self, subject: &Subject) -> Option<Vec<Dot>> {
-        self.held.remove(subject).map(|dots| dots.into_keys().collect())
+    /// Removes all marks of a subject that were seen here. Returns their dots, or `None` if the subject is
+    /// not marked.
+    pub fn remove(&mut self, subject: &Subject) -> Option<Vec<Dot>> {
+        self.dots_by_subject.remove(subject).map(|dots| dots.into_keys().collect())
     }
 
-    /// Takes a whole copy in.
+    /// Merges the marks of another replica into this one.
     pub fn merge(&mut self, other: &Marks) {
-        let mut held: BTreeMap<Subject, BTreeMap<Dot, Micros>> = BTreeMap::new();
-        for (one, another) in [(&*self, other), (other, &*self)] {
-            for (subject, dots) in &one.held {
-                for (dot, at) in dots {
-                    if another.holds(subject, dot) || !another.saw(dot) {
-                        held.entry(subject.clone()).or_default().insert(*dot, *at);
+        let mut merged: BTreeMap<Subject, BTreeMap<Dot, Micros>> = BTreeMap::new();
+        for (source, counterpart) in [(&*self, other), (other, &*self)] {
+            for (subject, dots) in &source.dots_by_subject {
+                for (dot, since) in dots {
+                    if counterpart.contains(subject, dot) || !counterpart.has_seen(dot) {
+                        merged.entry(subject.clone()).or_default().insert(*dot, *since);
                     }
                 }
             }
         }
-        self.held = held;
-        for (by, known) in &other.seen {
-            let mine = self.seen.entry(*by).or_default();
-            if known.n > mine.n {
-                *mine = *known;
+        self.dots_by_subject = merged;
+        for (session, theirs) in &other.version_vector {
+            let mine = self.version_vector.entry(*session).or_default();
+            if theirs.counter > mine.counter {
+                *mine = *theirs;
             }
         }
     }
 
-    /// Whether this dot was ever seen.
-    pub fn saw(&self, dot: &Dot) -> bool {
-        self.seen.get(&dot.by).is_some_and(|known| known.n >= dot.n)
+    /// Returns whether this replica has ever seen the dot.
+    pub fn has_seen(&self, dot: &Dot) -> bool {
+        self.version_vector.get(&dot.session).is_some_and(|entry| entry.counter >= dot.counter)
     }
 
-    /// The marks on this.
-    pub fn dots(&self, subject: &Subject) -> Vec<Dot> {
-        self.held.get(subject).map(|dots| dots.keys().copied().collect()).unwrap_or_default()
+    /// Returns the dots of the subject's marks.
+    pub fn dots_of(&self, subject: &Subject) -> Vec<Dot> {
+        self.dots_by_subject.get(subject).map(|dots| dots.keys().copied().collect()).unwrap_or_default()
     }
 
-    /// Whether this mark holds.
-    pub fn holds(&self, subject: &Subject, dot: &Dot) -> bool {
-        self.held.get(subject).is_some_and(|dots| dots.contains_key(dot))
+    /// Returns whether the subject has the mark with this dot.
+    pub fn contains(&self, subject: &Subject, dot: &Dot) -> bool {
+        self.dots_by_subject.get(subject).is_some_and(|dots| dots.contains_key(dot))
     }
 
-    /// Since when this is marked; none where it is not.
-    pub fn since(&self, subject: &Subject) -> Option<Micros> {
-        self.held.get(subject)?.values().min().copied()
+    /// Returns the time since which the subject is marked, or `None` if it is not marked.
+    pub fn marked_since(&self, subject: &Subject) -> Option<Micros> {
+        self.dots_by_subject.get(subject)?.values().min().copied()
     }
 
-    /// All that is marked.
-    pub fn all(&self) -> impl Iterator<Item = (&Subject, Micros)> {
-        self.held.iter().filter_map(|(subject, dots)| Some((subject, *dots.values().min()?)))
+    /// Iterates over the marked subjects, each with the time since which it is marked.
+    pub fn iter(&self) -> impl Iterator<Item = (&Subject, Micros)> {
+        self.dots_by_subject.iter().filter_map(|(subject, dots)| Some((subject, *dots.values().min()?)))
     }
 
-    /// Whether the other copy has all that this one has, marks and lifts.
-    pub fn within(&self, other: &Marks) -> bool {
-        let mut all = other.clone();
-        all.merge(self);
-        all == *other
+    /// Returns whether the other replica already reflects every mark and removal of this one.
+    pub fn is_included_in(&self, other: &Marks) -> bool {
+        let mut merged = other.clone();
+        merged.merge(self);
+        merged == *other
     }
 
-    /// This base, with the marks of this process that were set after this moment set anew: nobody else can have seen them.
-    pub fn renewed(&self, base: &Marks, by: Session, after: Micros, now: Micros) -> Marks {
+    /// Returns `base` with the subjects that `session` marks here marked again, if that session created a dot
+    /// later than `after`, the time when this replica was last in sync. No other replica can have seen such a
+    /// dot.
+    pub fn reapplied_to(&self, base: &Marks, session: Session, after: Micros, now: Micros) -> Marks {
         let mut marks = base.clone();
-        let Some(known) = self.seen.get(&by).filter(|known| known.at > after) else { return marks };
-        marks.seen.insert(by, *known);
-        for (subject, dots) in &self.held {
-            if dots.keys().any(|dot| dot.by == by) {
-                marks.set(by, subject.clone(), now);
+        let Some(entry) = self.version_vector.get(&session).filter(|entry| entry.created_at > after) else {
+            return marks;
+        };
+        marks.version_vector.insert(session, *entry);
+        for (subject, dots) in &self.dots_by_subject {
+            if dots.keys().any(|dot| dot.session == session) {
+                marks.add(session, subject.clone(), now);
             }
         }
         marks
     }
 
-    /// When the last mark was set that this copy has seen.
-    pub fn last(&self) -> Option<Micros> {
-        self.seen.values().map(|known| known.at).max()
-    }
-
-    /// Whether peers can have made it: within the bounds that hold here.
-    pub fn fits(&self) -> bool {
-        let dots = self.held.values().map(BTreeMap::len).sum::<usize>();
-        let named = |subject: &Subject| (1..=SUBJECT_MOST).contains(&subject.name().len());
-        let counted = self.held.values().flat_map(BTreeMap::keys).all(|dot| self.saw(dot));
-        dots <= 2 * MARKS_MOST && self.seen.len() <= 4 * MARKS_MOST && self.held.keys().all(named) && counted
-    }
-
-    /// Forgets processes of which nothing is marked any more and that set their last mark before the horizon.
-    pub fn collect(&mut self, now: Micros) {
-        let live: std::collections::BTreeSet<_> =
-            self.held.values().flat_map(|dots| dots.keys().map(|dot| dot.by)).collect();
-        self.seen.retain(|by, known| live.contains(by) || known.at.saturating_add(HORIZON) > now);
+    /// Returns when the latest dot that this replica has seen was created.
+    pub fn latest_dot_at(&self) -> Option<Micros> {
+        self.version_vector.values().map(|entry| entry.created_at).max()
+    }
+
+    /// Returns whether the marks are within the limits enforced here and contain no dot outside their version
+    /// vector.
+    pub fn is_valid(&self) -> bool {
+        let dot_count = self.dots_by_subject.values().map(BTreeMap::len).sum::<usize>();
+        let has_valid_name = |subject: &Subject| (1..=MAX_SUBJECT_NAME_BYTES).contains(&subject.name().len());
+        let all_dots_seen =
+            self.dots_by_subject.values().flat_map(BTreeMap::keys).all(|dot| self.has_seen(dot));
+        dot_count <= 2 * MAX_MARKS
+            && self.version_vector.len() <= 4 * MAX_MARKS
+            && self.dots_by_subject.keys().all(has_valid_name)
+            && all_dots_seen
+    }
+
+    /// Removes the version-vector entries of sessions that have no marks left and whose latest dot is older
+    /// than [`TOMBSTONE_RETENTION_US`].
+    pub fn collect_garbage(&mut self, now: Micros) {
+        let live_sessions: std::collections::BTreeSet<_> =
+            self.dots_by_subject.values().flat_map(|dots| dots.keys().map(|dot| dot.session)).collect();
+        self.version_vector.retain(|session, entry| {
+            live_sessions.contains(session) || entry.created_at.saturating_add(TOMBSTONE_RETENTION_US) > now
+        });
     }
 }
--- a/src/replica/mod.rs
+++ b/src/replica/mod.rs
@@ -1,7 +1,10 @@
-//! State that conductors share without agreeing on each change of it (`docs/STATE.md`). Nothing here does I/O or reads a clock.
+//! State that conductors replicate without consensus on each change (`docs/STATE.md`). Nothing here does I/O
+//! or reads a clock.
 //!
-//! [`clock`] orders writers, [`marks`] holds what operators decided, [`store`] holds all merged state and its digests,
-//! [`sync`] brings two copies together, [`duty`] says who probes what, [`idempotency`] says which named requests may have run, and [`share`] is one conductor's part in all of it.
+//! [`clock`] orders concurrent writes, [`marks`] holds operators' decisions, [`store`] holds all replicated
+//! items and their digests, [`sync`] reconciles two replicas, [`duty`] assigns duties such as probes,
+//! [`idempotency`] records which named requests may have run, and [`share`] combines these into one
+//! conductor's side of the replication.
 
 #[cfg(feature = "cluster")]
 pub mod clock;
@@ -21,16 +24,17 @@
 
 use crate::api::Micros;
 
-/// Who writes: a conductor, by the hash of its name.
+/// Identifies the conductor that wrote an item, by the hash of the conductor's name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Owner(pub u64);
 
 impl Owner {
-    /// The conductor of this name.
-    pub fn of(name: &str) -> Self {
+    /// Returns the owner id of the conductor with this name.
+    pub fn from_name(name: &str) -> Self {
         Owner(crate::estimate::name_hash(name))
     }
 }
 
-/// For so long deletion marks and the context of marks are kept. A copy that was apart for longer takes a whole one.
-pub const HORIZON: Micros = 24 * 3_600 * 1_000_000;
+/// How long tombstones and the version vectors of marks are kept, in microseconds. A replica that was
+/// disconnected for longer may have missed a deletion, so it discards its state and takes a full copy.
+pub const TOMBSTONE_RETENTION_US: Micros = 24 * 3_600 * 1_000_000;
--- a/src/replica/share.rs
+++ b/src/replica/share.rs
@@ -11,8 +11,8 @@
 use super::duty::{ASK_EVERY, Ask, Holder, Keeper, Lease};
 use super::idempotency::{Answer, Claim, ClaimTable, Decision, Held, Name, Try};
 use super::marks::{Marks, Subject};
-use super::store::{Figures, Key, Replica, Report, Spent, Value};
-use super::sync::{Reached, Say, Sync};
+use super::store::{EstimatesSnapshot, InstanceReport, Key, Replica, SpendingSnapshot, Value};
+use super::sync::{SyncMessage, SyncPosition, Synchronizer};
 use crate::api::Micros;
 use crate::control::state::{Agreed, Session};
 use crate::estimate::{FleetEstimates, Spending};
@@ -37,11 +37,11 @@
     /// What all others have spent.
     Others(Spending),
     /// How others found instances.
-    Reports(Vec<(String, Report)>),
+    Reports(Vec<(String, InstanceReport)>),
     /// What operators have marked, all of it, and returns of instances in Unix milliseconds.
     Marks(Marks, BTreeMap<String, i64>),
     /// What the best informed has learnt; told once, when this copy is good to serve by.
-    Learnt(Figures),
+    Learnt(EstimatesSnapshot),
     /// This copy is as good as another's, or was not waited for any longer.
     CaughtUp(bool),
 }
@@ -54,7 +54,7 @@
     /// Names of requests; none for one that goes.
     pub names: BTreeMap<Name, Option<Held>>,
     /// When this copy was last equal to another's, and how far it had each other's.
-    pub reached: Option<(Micros, BTreeMap<String, Reached>)>,
+    pub reached: Option<(Micros, BTreeMap<String, SyncPosition>)>,
 }
 
 impl Unsaved {
@@ -72,7 +72,7 @@
     /// Names of requests.
     pub names: Vec<(Name, Held)>,
     /// When that copy was last equal to another's, and how far it had each other's.
-    pub reached: Option<(Micros, BTreeMap<String, Reached>)>,
+    pub reached: Option<(Micros, BTreeMap<String, SyncPosition>)>,
 }
 
 /// A holder that two threads look at.
@@ -101,7 +101,7 @@
     me: String,
     session: Session,
     replica: Replica,
-    sync: Sync,
+    sync: Synchronizer,
     duties: Duties,
     keeper: Option<(u64, Keeper)>,
     /// Who led in which term, as far as heard.
@@ -132,10 +132,10 @@
     /// The part of a process that started now, with what its store held. What could not be taken in is counted.
     pub fn new(name: &str, session: Session, now: Micros, kept: Kept) -> (Self, usize) {
         let mut replica = Replica::new(name, now);
-        let mut sync = Sync::new(name, now);
+        let mut sync = Synchronizer::new(name, now);
         let (equal_at, had) = kept.reached.unwrap_or((now, BTreeMap::new()));
         let unfit = replica.load(now, (equal_at, kept.items));
-        sync.load(had);
+        sync.restore_positions(had);
         let marks = replica.marks();
         let share = Share {
             me: name.into(),
@@ -176,22 +176,22 @@
 
     /// What the module has spent and learnt.
     pub fn figures(&mut self, now: Micros, all: &FleetEstimates) {
-        self.replica.spent(now, Spent::of(now, &all.spending()));
+        self.replica.record_spending(now, SpendingSnapshot::new(now, &all.spending()));
         if now >= self.learnt_at.saturating_add(LEARN_EVERY) {
             self.learnt_at = now;
-            self.replica.learnt(now, Figures::of(all));
+            self.replica.record_estimates(now, EstimatesSnapshot::new(all));
         }
     }
 
     /// How an instance was found.
-    pub fn report(&mut self, now: Micros, instance: &str, report: Report) {
-        self.replica.report(now, instance, report);
+    pub fn report(&mut self, now: Micros, instance: &str, report: InstanceReport) {
+        self.replica.record_report(now, instance, report);
     }
 
     /// An operator marks something. False where there is no room.
     pub fn mark(&mut self, now: Micros, subject: Subject) -> bool {
         // Also where it is marked: a lift that is under way elsewhere has not seen this one.
-        let done = self.marks.set(self.session, subject, now).is_some();
+        let done = self.marks.add(self.session, subject, now).is_some();
         if done {
             self.decreed(now);
         }
@@ -200,16 +200,16 @@
 
     /// An operator lifts a mark.
     pub fn lift(&mut self, now: Micros, now_ms: i64, subject: &Subject) {
-        if self.marks.lift(subject).is_some() {
+        if self.marks.remove(subject).is_some() {
             if let Subject::Instance(name) = subject {
-                self.replica.returned(now, name, Some(now_ms));
+                self.replica.record_return(now, name, Some(now_ms));
             }
             self.decreed(now);
         }
     }
 
     fn decreed(&mut self, now: Micros) {
-        self.replica.marked(now, self.marks.clone());
+        self.replica.record_marks(now, self.marks.clone());
         self.urgent = true;
         // What operators decided goes out with the next tick, not with the next round of figures.
         self.told_at = now.saturating_sub(TELL_EVERY);
@@ -218,7 +218,7 @@
 
     /// Whether the ledger has all marks and lifts that this conductor has.
     pub fn agreed(&self, agreed: &Agreed) -> bool {
-        self.marks.within(&agreed.marks)
+        self.marks.is_included_in(&agreed.marks)
     }
 
     /// All marks, for the ledger.
@@ -267,7 +267,7 @@
     /// A word of another conductor. `authority`: this one leads, and a majority knew it as its leader lately.
     pub fn hear(&mut self, now: Micros, from: &str, word: PeerMessage, agreed: &Agreed, authority: bool) {
         match word {
-            PeerMessage::State(Say::Policy(revision, digest)) => {
+            PeerMessage::State(SyncMessage::Policy(revision, digest)) => {
                 if (revision, digest) == self.policy {
                     self.policy_apart.remove(from);
                 } else if revision == self.policy.0 && self.policy_apart.insert(from.to_owned()) {
@@ -276,7 +276,8 @@
                 }
             }
             PeerMessage::State(say) => {
-                let (out, news) = self.sync.hear(now, &mut self.replica, from, agreed.members.len(), say);
+                let (out, news) =
+                    self.sync.handle_message(now, &mut self.replica, from, agreed.members.len(), say);
                 self.out.extend(out.into_iter().map(|(to, say)| (to, PeerMessage::State(say))));
                 self.merged(now, news);
             }
@@ -303,7 +304,7 @@
 
     /// The way to this conductor is there again: the two copies are compared at once, not when its turn comes.
     pub fn met(&mut self, name: &str) {
-        let say = self.sync.root(&self.replica, name);
+        let say = self.sync.root_message(&self.replica, name);
         self.out.push((name.to_owned(), PeerMessage::State(say)));
     }
 
@@ -327,7 +328,7 @@
                 (Key::Marks | Key::Return(_), _) => marks = true,
                 _ => {}
             }
-            if key.lasts() {
+            if key.is_persistent() {
                 self.dirty.insert(key);
             }
         }
@@ -343,7 +344,7 @@
     fn settle_marks(&mut self, now: Micros) {
         self.marks.merge(&self.replica.marks());
         if self.replica.marks() != self.marks {
-            self.replica.marked(now, self.marks.clone());
+            self.replica.record_marks(now, self.marks.clone());
         }
         self.dirty.insert(Key::Marks);
         self.urgent = true;
@@ -351,7 +352,7 @@
     }
 
     fn tell_marks(&mut self) {
-        let returns = self.replica.all().filter_map(|(key, value)| match (key, value) {
+        let returns = self.replica.items().filter_map(|(key, value)| match (key, value) {
             (Key::Return(name), Value::Return(held)) => Some((name.clone(), held.value?)),
             _ => None,
         });
@@ -370,7 +371,7 @@
             self.policy = (agreed.revision, digest);
             self.policy_apart.clear();
         }
-        if !agreed.marks.within(&self.marks) {
+        if !agreed.marks.is_included_in(&self.marks) {
             self.marks.merge(&agreed.marks);
             self.settle_marks(now);
         }
@@ -405,7 +406,7 @@
     pub fn tick(&mut self, now: Micros, agreed: &Agreed, leader: Option<&str>, heard: &[&str]) {
         if now >= self.tidied_at.saturating_add(TIDY_EVERY) {
             self.tidied_at = now;
-            self.replica.tidy(now);
+            self.replica.remove_expired(now);
         }
         if agreed.sessions.get(&self.me) == Some(&self.session)
             && now >= self.asked_at.saturating_add(ASK_EVERY)
@@ -421,32 +422,35 @@
                 None => {}
             }
         }
-        let apart_since = self.replica.equal_at();
-        if !heard.is_empty() && self.replica.forget_if_old(now) {
+        let apart_since = self.replica.last_in_sync_at();
+        if !heard.is_empty() && self.replica.discard_if_outdated(now) {
             tracing::warn!(
                 "state: this copy was apart for longer than deletion marks are kept, and is taken anew"
             );
-            self.sync.forget();
-            self.marks = self.marks.renewed(&agreed.marks, self.session, apart_since, now);
-            self.replica.marked(now, self.marks.clone());
-            self.replica.equal(now);
+            self.sync.forget_positions();
+            self.marks = self.marks.reapplied_to(&agreed.marks, self.session, apart_since, now);
+            self.replica.record_marks(now, self.marks.clone());
+            self.replica.mark_in_sync(now);
             self.urgent = true;
         }
-        let said = self.sync.due(now, &mut self.replica, heard);
+        let said = self.sync.tick(now, &mut self.replica, heard);
         for (to, say) in said {
-            if matches!(say, Say::Root(..)) && self.policy.0 > 0 {
-                self.out.push((to.clone(), PeerMessage::State(Say::Policy(self.policy.0, self.policy.1))));
+            if matches!(say, SyncMessage::Root(..)) && self.policy.0 > 0 {
+                self.out.push((
+                    to.clone(),
+                    PeerMessage::State(SyncMessage::Policy(self.policy.0, self.policy.1)),
+                ));
             }
             self.out.push((to, PeerMessage::State(say)));
         }
         if let Some(well) = self.sync.caught_up().filter(|_| !self.told_caught_up) {
             self.told_caught_up = true;
             self.tell_marks();
-            self.news.extend(self.replica.best_learnt().map(ShareEvent::Learnt));
+            self.news.extend(self.replica.best_estimates().map(ShareEvent::Learnt));
             self.news.push(ShareEvent::CaughtUp(well));
         }
         if now >= self.told_at.saturating_add(TELL_EVERY) {
-            self.news.push(ShareEvent::Others(self.replica.others(now)));
+            self.news.push(ShareEvent::Others(self.replica.spending_of_others(now)));
             let told: Vec<_> = heard.iter().map(|name| (*name).to_owned()).collect();
             self.tell_to(now, &told);
         }
@@ -475,14 +479,15 @@
     /// Tells these what has changed here.
     fn tell_to(&mut self, now: Micros, heard: &[String]) {
         self.told_at = now;
-        let changed = self.replica.take_changed();
-        self.dirty.extend(changed.iter().map(|(key, _)| key.clone()).filter(Key::lasts));
+        let changed = self.replica.take_changed_items();
+        self.dirty.extend(changed.iter().map(|(key, _)| key.clone()).filter(Key::is_persistent));
         let mut word = Vec::new();
         let mut bytes = 0;
         let mut say = |word: &mut Vec<(Key, Value)>| {
             let items = std::mem::take(word);
-            self.out
-                .extend(heard.iter().map(|to| (to.clone(), PeerMessage::State(Say::Items(items.clone())))));
+            self.out.extend(
+                heard.iter().map(|to| (to.clone(), PeerMessage::State(SyncMessage::Items(items.clone())))),
+            );
         };
         for item in changed {
             bytes += 64;
@@ -505,11 +510,12 @@
         if self.urgent || now >= self.saved_at.saturating_add(SAVE_EVERY) {
             (self.urgent, self.saved_at) = (false, now);
             let mut dirty = std::mem::take(&mut self.dirty);
-            dirty.extend(self.replica.take_dropped());
+            dirty.extend(self.replica.take_removed_keys());
             unsaved.items =
                 dirty.into_iter().map(|key| (key.clone(), self.replica.get(&key).cloned())).collect();
             if !unsaved.items.is_empty() {
-                unsaved.reached = Some((self.replica.equal_at(), self.sync.had().clone()));
+                unsaved.reached =
+                    Some((self.replica.last_in_sync_at(), self.sync.received_positions().clone()));
             }
         }
         unsaved
@@ -543,32 +549,32 @@
 
     /// Where all stands.
     pub fn status(&self, now: Micros, agreed: &Agreed) -> Json {
-        let counts = self.sync.counts;
-        let items = self.replica.all().count();
+        let counts = self.sync.counters;
+        let items = self.replica.items().count();
         let marked = |(subject, at): (&Subject, Micros)| match subject {
             Subject::Instance(name) => json!({ "instance": name, "since_ms": at / 1_000 }),
             Subject::Conductor(name) => json!({ "conductor": name, "since_ms": at / 1_000 }),
         };
         json!({
-            "root": format!("{:016x}", self.replica.root()),
+            "root": format!("{:016x}", self.replica.root_digest()),
             "items": items,
             "caught_up": self.sync.caught_up(),
-            "lag_ms": (now - self.replica.equal_at()).max(0) / 1_000,
+            "lag_ms": (now - self.replica.last_in_sync_at()).max(0) / 1_000,
             "marks_agreed": self.agreed(agreed),
-            "marks": self.marks.all().map(marked).collect::<Vec<_>>(),
+            "marks": self.marks.iter().map(marked).collect::<Vec<_>>(),
             "named_requests": self.book.len(),
             "duties": if self.duties.lock().leased(now) { "leased" } else { "none" },
             "set_aside": self.set_aside(),
             "counters": {
-                "equal": counts.equal, "different": counts.different, "taken": counts.taken,
-                "turned_down": counts.turned_down, "damaged": counts.damaged, "bytes": counts.bytes,
-                "repaired": counts.repaired,
+                "equal": counts.equal_comparisons, "different": counts.different_comparisons, "taken": counts.merged_items,
+                "turned_down": counts.rejected_items, "damaged": counts.damaged_chunks, "bytes": counts.sent_chunk_bytes,
+                "repaired": counts.resolved_conflicts,
             },
         })
     }
 
     fn set_aside(&self) -> Vec<String> {
-        let items = self.replica.apart().map(|key| format!("{key:?}"));
+        let items = self.replica.conflicting_keys().map(|key| format!("{key:?}"));
         let policies = self.policy_apart.iter().map(|name| format!("the policy's document at {name}"));
         items.chain(policies).collect()
     }
@@ -581,7 +587,7 @@
             let shown = serde_json::to_value(&value).unwrap_or_default();
             json!({ "key": format!("{key:?}"), "value": shown, "bytes": hex })
         };
-        json!({ "form": 1, "items": self.replica.lasting().1.into_iter().map(item).collect::<Vec<_>>() })
+        json!({ "form": 1, "items": self.replica.persistent_items().1.into_iter().map(item).collect::<Vec<_>>() })
     }
 
     /// Takes an export in, by the same rules as another's copy. How many items were taken, were known, were turned down.
@@ -594,9 +600,9 @@
         for item in items {
             let read = item["bytes"].as_str().and_then(bytes_of);
             let read = read.and_then(|bytes| postcard::from_bytes::<(Key, Value)>(&bytes).ok());
-            match read
-                .map(|(key, value)| (self.replica.merge(now, Owner::of(&self.me), key.clone(), value), key))
-            {
+            match read.map(|(key, value)| {
+                (self.replica.merge(now, Owner::from_name(&self.me), key.clone(), value), key)
+            }) {
                 Some((Ok(true), key)) => {
                     taken += 1;
                     news.push(key);
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -384,9 +384,10 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("ledger.redb");
     let mut replica = Replica::new("a", 1_000);
-    replica.returned(1_000, "w1", Some(1));
-    replica.returned(1_000, "w2", Some(2));
-    let items: Vec<_> = replica.lasting().1.into_iter().map(|(key, value)| (key, Some(value))).collect();
+    replica.record_return(1_000, "w1", Some(1));
+    replica.record_return(1_000, "w2", Some(2));
+    let items: Vec<_> =
+        replica.persistent_items().1.into_iter().map(|(key, value)| (key, Some(value))).collect();
     let held = Held { of: Try { by: Session(3), n: 4 }, stage: Stage::Ran, at: 5 };
     let names = [(Name(1), Some(held)), (Name(2), Some(held))].into();
     let reached = Some((7, [("b".to_owned(), (8, 9))].into()));
