--- a/src/replica/share.rs
+++ b/src/replica/share.rs
@@ -15,8 +15,8 @@
     ClaimAnswer, ClaimDecision, ClaimId, ClaimRecord, ClaimTable, ClaimVote, RequestName,
 };
 use super::marks::{Marks, Subject};
-use super::store::{Figures, Key, Replica, Report, Spent, Value};
-use super::sync::{Reached, Say, Sync};
+use super::store::{EstimatesSnapshot, InstanceReport, Key, Replica, SpendingSnapshot, Value};
+use super::sync::{SyncMessage, SyncPosition, Synchronizer};
 use crate::api::Micros;
 use crate::control::state::{Agreed, Session};
 use crate::estimate::{FleetEstimates, Spending};
@@ -43,11 +43,11 @@
     /// The combined spending of all other conductors.
     OthersSpending(Spending),
     /// The latest reports of other conductors on instances, by instance name.
-    Reports(Vec<(String, Report)>),
+    Reports(Vec<(String, InstanceReport)>),
     /// All of the operators' marks, and when instances returned from maintenance, in Unix milliseconds.
     Marks(Marks, BTreeMap<String, i64>),
     /// The estimates of the conductor that has learnt most. Sent once, when this replica has caught up or stops waiting for it.
-    Learnt(Figures),
+    Learnt(EstimatesSnapshot),
     /// Whether this replica has caught up with another one (true), or the wait for that has timed out (false).
     CaughtUp(bool),
 }
@@ -60,7 +60,7 @@
     /// Changed claims by request name; none for a removed one.
     pub claims: BTreeMap<RequestName, Option<ClaimRecord>>,
     /// When this replica last equalled another one, and how much of each other conductor's replica it has received.
-    pub sync_progress: Option<(Micros, BTreeMap<String, Reached>)>,
+    pub sync_progress: Option<(Micros, BTreeMap<String, SyncPosition>)>,
 }
 
 impl UnsavedChanges {
@@ -78,7 +78,7 @@
     /// Claims by request name.
     pub claims: Vec<(RequestName, ClaimRecord)>,
     /// When the stored replica last equalled another one, and how much of each other conductor's replica it had received.
-    pub sync_progress: Option<(Micros, BTreeMap<String, Reached>)>,
+    pub sync_progress: Option<(Micros, BTreeMap<String, SyncPosition>)>,
 }
 
 /// This conductor's duty lease, shared between the serving thread and the controller's thread.
@@ -107,7 +107,7 @@
     local_name: String,
     session: Session,
     replica: Replica,
-    sync: Sync,
+    sync: Synchronizer,
     duties: Duties,
     /// While this conductor leads: its term, and the issuer of duty leases.
     lease_issuer: Option<(u64, LeaseIssuer)>,
@@ -144,10 +144,10 @@
     /// items that were rejected.
     pub fn new(name: &str, session: Session, now: Micros, stored: StoredState) -> (Self, usize) {
         let mut replica = Replica::new(name, now);
-        let mut sync = Sync::new(name, now);
+        let mut sync = Synchronizer::new(name, now);
         let (equal_at, received) = stored.sync_progress.unwrap_or((now, BTreeMap::new()));
         let rejected = replica.load(now, (equal_at, stored.items));
-        sync.load(received);
+        sync.restore_positions(received);
         let marks = replica.marks();
         let shared_state = SharedState {
             local_name: name.into(),
@@ -188,22 +188,22 @@
 
     /// Records what this conductor's decision module has spent, and from time to time what it has learnt.
     pub fn record_estimates(&mut self, now: Micros, estimates: &FleetEstimates) {
-        self.replica.spent(now, Spent::of(now, &estimates.spending()));
+        self.replica.record_spending(now, SpendingSnapshot::new(now, &estimates.spending()));
         if now >= self.estimates_recorded_at.saturating_add(ESTIMATES_INTERVAL) {
             self.estimates_recorded_at = now;
-            self.replica.learnt(now, Figures::of(estimates));
+            self.replica.record_estimates(now, EstimatesSnapshot::new(estimates));
         }
     }
 
     /// Records this conductor's latest report on an instance.
-    pub fn record_report(&mut self, now: Micros, instance: &str, report: Report) {
-        self.replica.report(now, instance, report);
+    pub fn record_report(&mut self, now: Micros, instance: &str, report: InstanceReport) {
+        self.replica.record_report(now, instance, report);
     }
 
     /// Adds an operator's mark. Returns false if there is no room for it.
     pub fn add_mark(&mut self, now: Micros, subject: Subject) -> bool {
         // Set anew even if the subject is marked already: a concurrent lift elsewhere has not seen this mark and leaves it.
-        let is_added = self.marks.set(self.session, subject, now).is_some();
+        let is_added = self.marks.add(self.session, subject, now).is_some();
         if is_added {
             self.publish_marks(now);
         }
@@ -212,16 +212,16 @@
 
     /// Lifts the operators' marks on a subject. `now_ms` is the Unix time in milliseconds at which an instance returns.
     pub fn lift_mark(&mut self, now: Micros, now_ms: i64, subject: &Subject) {
-        if self.marks.lift(subject).is_some() {
+        if self.marks.remove(subject).is_some() {
             if let Subject::Instance(name) = subject {
-                self.replica.returned(now, name, Some(now_ms));
+                self.replica.record_return(now, name, Some(now_ms));
             }
             self.publish_marks(now);
         }
     }
 
     fn publish_marks(&mut self, now: Micros) {
-        self.replica.marked(now, self.marks.clone());
+        self.replica.record_marks(now, self.marks.clone());
         self.saves_immediately = true;
         // Operators' changes are sent with the next tick instead of after the broadcast interval.
         self.broadcast_at = now.saturating_sub(BROADCAST_INTERVAL);
@@ -230,7 +230,7 @@
 
     /// Whether the ledger has all marks and lifts that this conductor has.
     pub fn are_marks_agreed(&self, agreed: &Agreed) -> bool {
-        self.marks.within(&agreed.marks)
+        self.marks.is_included_in(&agreed.marks)
     }
 
     /// Returns all marks, to be proposed to the ledger.
@@ -290,7 +290,7 @@
         &mut self, now: Micros, from: &str, message: PeerMessage, agreed: &Agreed, has_authority: bool,
     ) {
         match message {
-            PeerMessage::State(Say::Policy(revision, digest)) => {
+            PeerMessage::State(SyncMessage::Policy(revision, digest)) => {
                 if (revision, digest) == self.policy_version {
                     self.policy_conflicts.remove(from);
                 } else if revision == self.policy_version.0 && self.policy_conflicts.insert(from.to_owned()) {
@@ -302,7 +302,8 @@
                 }
             }
             PeerMessage::State(say) => {
-                let (replies, news) = self.sync.hear(now, &mut self.replica, from, agreed.members.len(), say);
+                let (replies, news) =
+                    self.sync.handle_message(now, &mut self.replica, from, agreed.members.len(), say);
                 self.outgoing.extend(replies.into_iter().map(|(to, say)| (to, PeerMessage::State(say))));
                 self.handle_merged_items(now, news);
             }
@@ -333,7 +334,7 @@
 
     /// Compares replicas with a conductor whose link has just been established, without waiting for its turn.
     pub fn compare_with(&mut self, peer: &str) {
-        let say = self.sync.root(&self.replica, peer);
+        let say = self.sync.root_message(&self.replica, peer);
         self.outgoing.push((peer.to_owned(), PeerMessage::State(say)));
     }
 
@@ -359,7 +360,7 @@
                 (Key::Marks | Key::Return(_), _) => have_marks_changed = true,
                 _ => {}
             }
-            if key.lasts() {
+            if key.is_persistent() {
                 self.unsaved_keys.insert(key);
             }
         }
@@ -375,7 +376,7 @@
     fn merge_replica_marks(&mut self, now: Micros) {
         self.marks.merge(&self.replica.marks());
         if self.replica.marks() != self.marks {
-            self.replica.marked(now, self.marks.clone());
+            self.replica.record_marks(now, self.marks.clone());
         }
         self.unsaved_keys.insert(Key::Marks);
         self.saves_immediately = true;
@@ -383,7 +384,7 @@
     }
 
     fn emit_marks(&mut self) {
-        let returns = self.replica.all().filter_map(|(key, value)| match (key, value) {
+        let returns = self.replica.items().filter_map(|(key, value)| match (key, value) {
             (Key::Return(name), Value::Return(register)) => Some((name.clone(), register.value?)),
             _ => None,
         });
@@ -402,7 +403,7 @@
             self.policy_version = (agreed.revision, digest);
             self.policy_conflicts.clear();
         }
-        if !agreed.marks.within(&self.marks) {
+        if !agreed.marks.is_included_in(&self.marks) {
             self.marks.merge(&agreed.marks);
             self.merge_replica_marks(now);
         }
@@ -441,7 +442,7 @@
     pub fn tick(&mut self, now: Micros, agreed: &Agreed, leader: Option<&str>, reachable_peers: &[&str]) {
         if now >= self.cleaned_up_at.saturating_add(CLEANUP_INTERVAL) {
             self.cleaned_up_at = now;
-            self.replica.tidy(now);
+            self.replica.remove_expired(now);
         }
         if agreed.sessions.get(&self.local_name) == Some(&self.session)
             && now >= self.lease_requested_at.saturating_add(LEASE_REQUEST_INTERVAL)
@@ -457,23 +458,23 @@
                 None => {}
             }
         }
-        let last_equal_at = self.replica.equal_at();
-        if !reachable_peers.is_empty() && self.replica.forget_if_old(now) {
+        let last_equal_at = self.replica.last_in_sync_at();
+        if !reachable_peers.is_empty() && self.replica.discard_if_outdated(now) {
             tracing::warn!(
                 "state: this replica was out of contact for longer than tombstones are retained; replacing it"
             );
-            self.sync.forget();
-            self.marks = self.marks.renewed(&agreed.marks, self.session, last_equal_at, now);
-            self.replica.marked(now, self.marks.clone());
-            self.replica.equal(now);
+            self.sync.forget_positions();
+            self.marks = self.marks.reapplied_to(&agreed.marks, self.session, last_equal_at, now);
+            self.replica.record_marks(now, self.marks.clone());
+            self.replica.mark_in_sync(now);
             self.saves_immediately = true;
         }
-        let sync_messages = self.sync.due(now, &mut self.replica, reachable_peers);
+        let sync_messages = self.sync.tick(now, &mut self.replica, reachable_peers);
         for (to, say) in sync_messages {
-            if matches!(say, Say::Root(..)) && self.policy_version.0 > 0 {
+            if matches!(say, SyncMessage::Root(..)) && self.policy_version.0 > 0 {
                 self.outgoing.push((
                     to.clone(),
-                    PeerMessage::State(Say::Policy(self.policy_version.0, self.policy_version.1)),
+                    PeerMessage::State(SyncMessage::Policy(self.policy_version.0, self.policy_version.1)),
                 ));
             }
             self.outgoing.push((to, PeerMessage::State(say)));
@@ -481,11 +482,11 @@
         if let Some(is_caught_up) = self.sync.caught_up().filter(|_| !self.is_caught_up_reported) {
             self.is_caught_up_reported = true;
             self.emit_marks();
-            self.events.extend(self.replica.best_learnt().map(SharedStateEvent::Learnt));
+            self.events.extend(self.replica.best_estimates().map(SharedStateEvent::Learnt));
             self.events.push(SharedStateEvent::CaughtUp(is_caught_up));
         }
         if now >= self.broadcast_at.saturating_add(BROADCAST_INTERVAL) {
-            self.events.push(SharedStateEvent::OthersSpending(self.replica.others(now)));
+            self.events.push(SharedStateEvent::OthersSpending(self.replica.spending_of_others(now)));
             let receivers: Vec<_> = reachable_peers.iter().map(|name| (*name).to_owned()).collect();
             self.broadcast_changes(now, &receivers);
         }
@@ -518,14 +519,16 @@
     /// Sends the items that have changed here to `receivers`.
     fn broadcast_changes(&mut self, now: Micros, receivers: &[String]) {
         self.broadcast_at = now;
-        let changed = self.replica.take_changed();
-        self.unsaved_keys.extend(changed.iter().map(|(key, _)| key.clone()).filter(Key::lasts));
+        let changed = self.replica.take_changed_items();
+        self.unsaved_keys.extend(changed.iter().map(|(key, _)| key.clone()).filter(Key::is_persistent));
         let mut batch = Vec::new();
         let mut batch_bytes = 0;
         let mut send_batch = |batch: &mut Vec<(Key, Value)>| {
             let items = std::mem::take(batch);
             self.outgoing.extend(
-                receivers.iter().map(|to| (to.clone(), PeerMessage::State(Say::Items(items.clone())))),
+                receivers
+                    .iter()
+                    .map(|to| (to.clone(), PeerMessage::State(SyncMessage::Items(items.clone())))),
             );
         };
         for item in changed {
@@ -550,11 +553,12 @@
         if self.saves_immediately || now >= self.saved_at.saturating_add(SAVE_INTERVAL) {
             (self.saves_immediately, self.saved_at) = (false, now);
             let mut keys = std::mem::take(&mut self.unsaved_keys);
-            keys.extend(self.replica.take_dropped());
+            keys.extend(self.replica.take_removed_keys());
             unsaved.items =
                 keys.into_iter().map(|key| (key.clone(), self.replica.get(&key).cloned())).collect();
             if !unsaved.items.is_empty() {
-                unsaved.sync_progress = Some((self.replica.equal_at(), self.sync.had().clone()));
+                unsaved.sync_progress =
+                    Some((self.replica.last_in_sync_at(), self.sync.received_positions().clone()));
             }
         }
         unsaved
@@ -588,33 +592,33 @@
 
     /// Returns the status of the shared state, as operators see it.
     pub fn status(&self, now: Micros, agreed: &Agreed) -> Json {
-        let counts = self.sync.counts;
-        let items = self.replica.all().count();
+        let counts = self.sync.counters;
+        let items = self.replica.items().count();
         let mark_json = |(subject, marked_at): (&Subject, Micros)| match subject {
             Subject::Instance(name) => json!({ "instance": name, "since_ms": marked_at / 1_000 }),
             Subject::Conductor(name) => json!({ "conductor": name, "since_ms": marked_at / 1_000 }),
         };
         json!({
-            "root": format!("{:016x}", self.replica.root()),
+            "root": format!("{:016x}", self.replica.root_digest()),
             "items": items,
             "caught_up": self.sync.caught_up(),
-            "lag_ms": (now - self.replica.equal_at()).max(0) / 1_000,
+            "lag_ms": (now - self.replica.last_in_sync_at()).max(0) / 1_000,
             "marks_agreed": self.are_marks_agreed(agreed),
-            "marks": self.marks.all().map(mark_json).collect::<Vec<_>>(),
+            "marks": self.marks.iter().map(mark_json).collect::<Vec<_>>(),
             "named_requests": self.claim_table.len(),
             "duties": if self.duties.lock().has_lease(now) { "leased" } else { "none" },
             "set_aside": self.set_aside(),
             "counters": {
-                "equal": counts.equal, "different": counts.different, "taken": counts.taken,
-                "turned_down": counts.turned_down, "damaged": counts.damaged, "bytes": counts.bytes,
-                "repaired": counts.repaired,
+                "equal": counts.equal_comparisons, "different": counts.different_comparisons, "taken": counts.merged_items,
+                "turned_down": counts.rejected_items, "damaged": counts.damaged_chunks, "bytes": counts.sent_chunk_bytes,
+                "repaired": counts.resolved_conflicts,
             },
         })
     }
 
     /// Lists what is set aside because conductors hold different content for the same version.
     fn set_aside(&self) -> Vec<String> {
-        let items = self.replica.apart().map(|key| format!("{key:?}"));
+        let items = self.replica.conflicting_keys().map(|key| format!("{key:?}"));
         let policies = self.policy_conflicts.iter().map(|name| format!("the policy's document at {name}"));
         items.chain(policies).collect()
     }
@@ -628,7 +632,7 @@
             let readable_value = serde_json::to_value(&value).unwrap_or_default();
             json!({ "key": format!("{key:?}"), "value": readable_value, "bytes": hex })
         };
-        json!({ "form": 1, "items": self.replica.lasting().1.into_iter().map(item_json).collect::<Vec<_>>() })
+        json!({ "form": 1, "items": self.replica.persistent_items().1.into_iter().map(item_json).collect::<Vec<_>>() })
     }
 
     /// Imports an export, by the same rules as items from another replica. Returns how many items were taken, were known already,
@@ -643,7 +647,7 @@
             let bytes = item["bytes"].as_str().and_then(parse_hex);
             let decoded = bytes.and_then(|bytes| postcard::from_bytes::<(Key, Value)>(&bytes).ok());
             match decoded.map(|(key, value)| {
-                (self.replica.merge(now, Owner::of(&self.local_name), key.clone(), value), key)
+                (self.replica.merge(now, Owner::from_name(&self.local_name), key.clone(), value), key)
             }) {
                 Some((Ok(true), key)) => {
                     taken += 1;
