--- a/src/main.rs
+++ b/src/main.rs
@@ -37,8 +37,8 @@
 use croftsill::node::process::succession::{self, Estate, Inherited, Link, Partners};
 #[cfg(feature = "cluster")]
 use croftsill::node::shared::Shared;
-use croftsill::node::upstream::attempt::{Dialect, Upstream};
-use croftsill::node::upstream::pool::{Pool, Site};
+use croftsill::node::upstream::attempt::{Protocol, Upstream};
+use croftsill::node::upstream::pool::{Endpoint, Pool};
 use croftsill::node::{Clock, Core, tend_fleet};
 #[cfg(feature = "cluster")]
 use croftsill::peers::roster::Roster;
@@ -198,14 +198,14 @@
     let learnt = same.map(|state| state.learnt.clone());
     let pool = Rc::new(Pool::new(config.pool.clone(), counters.clone()));
     let (planner, orders) = Planner::start(config.settings.clone(), config.seed, clock, learnt);
-    let dialect = Dialect::Platform { pin_limit: config.settings.rules.pin_limit };
+    let dialect = Protocol::Platform { pin_limit: config.settings.rules.pin_limit };
     let upstream = Rc::new(Upstream::new(pool.clone(), dialect, counters.clone()));
     let (discovery, address) = watch::channel(config.discovery);
     let (hangups, path) = replaced;
     spawn_local(reload::follow(hangups, path, discovery, counters.clone()));
     let core = Core { planner, upstream, counters: counters.clone(), policy_gate: policy_gate.clone() };
     let tidied = pool.clone();
-    spawn_local(async move { tidied.tidy().await });
+    spawn_local(async move { tidied.run_eviction().await });
 
     let fresh = inherited.is_some();
     let known = first_list(&config, inherited, shutdown);
@@ -293,18 +293,18 @@
     let seed = clock.now() as u64 ^ u64::from(std::process::id()) << 48;
     let pool = Rc::new(Pool::new(config.pool.clone(), counters.clone()));
     let (planner, orders) = Planner::start(config.settings.clone(), seed, clock, None);
-    let dialect = Dialect::Chat(std::mem::take(&mut config.server_headers));
+    let dialect = Protocol::Chat(std::mem::take(&mut config.server_headers));
     let upstream = Rc::new(Upstream::new(pool.clone(), dialect, counters.clone()));
     let core = Core { planner, upstream, counters: counters.clone(), policy_gate: PolicyGate::open() };
     spawn_local(tend_fleet(core.clone(), orders));
     spawn_local(follow_shutdown(core.planner.clone(), shutdown.clone(), clock));
     let tidied = pool.clone();
-    spawn_local(async move { tidied.tidy().await });
+    spawn_local(async move { tidied.run_eviction().await });
     let mut members = Vec::new();
     for (number, (name, addr)) in config.servers.iter().enumerate() {
         let host = HostId(number as u32);
         let name = name.as_str().into();
-        pool.place(host, Some(Site { name, addr: *addr, role: Role::Both, ready: true }));
+        pool.set_endpoint(host, Some(Endpoint { name, addr: *addr, role: Role::Both, is_ready: true }));
         members.push(Member { host, ..Member::default() });
     }
     core.planner.hosts(true, members);
@@ -355,7 +355,7 @@
     let mut counted = Vec::new();
     let mut conductors = Conductors::default();
     if let Some((mut config, path)) = platform {
-        config.leave(chat.as_ref().map_or(0, |chat| chat.intake + chat.pool.connections));
+        config.leave(chat.as_ref().map_or(0, |chat| chat.intake + chat.pool.max_connections));
         let counters = Rc::new(Counters::default());
         counted.push(("platform", counters.clone()));
         conductors = start_platform(config, &words, clock, counters, &shutdown, (hangups, path)).await?;
--- a/src/node/front/chat.rs
+++ b/src/node/front/chat.rs
@@ -321,7 +321,7 @@
             }
         }
         let mut reply = match answer {
-            Answer::Events { form, pieces } if streamed && form.streamed() => {
+            Answer::Events { form, pieces } if streamed && form.is_event_stream() => {
                 let mut reply = Response::new(Either::Right(Pieces::new(pieces)));
                 form.content_type.map(|kind| reply.headers_mut().insert(CONTENT_TYPE, kind));
                 reply
--- a/src/node/front/chat/tests.rs
+++ b/src/node/front/chat/tests.rs
@@ -11,7 +11,7 @@
 use crate::node::planner::Planner;
 use crate::node::policy_gate::PolicyGate;
 use crate::node::process::schedule::GracePeriod;
-use crate::node::upstream::attempt::{Dialect, Upstream};
+use crate::node::upstream::attempt::{Protocol, Upstream};
 use crate::node::upstream::pool::Pool;
 
 /// A front of the example file whose controller never answers.
@@ -21,7 +21,7 @@
     let counters = Rc::new(Counters::default());
     let (planner, _orders) = Planner::start(chat.settings.clone(), 1, Clock::start(), None);
     let pool = Rc::new(Pool::new(chat.pool.clone(), counters.clone()));
-    let upstream = Rc::new(Upstream::new(pool, Dialect::Chat(HeaderMap::new()), counters.clone()));
+    let upstream = Rc::new(Upstream::new(pool, Protocol::Chat(HeaderMap::new()), counters.clone()));
     let core = Core { planner, upstream, counters: counters.clone(), policy_gate: PolicyGate::open() };
     let intake = Intake::new(chat.intake, chat.body_bytes, counters);
     let (handle, calls, updates) = handle_and_updates();
--- a/src/node/front/mod.rs
+++ b/src/node/front/mod.rs
@@ -37,7 +37,7 @@
 use crate::node::process::shutdown::{Pending, Shutdown};
 use crate::node::uninterrupted::Uninterrupted;
 use crate::node::upstream::attempt::Payload;
-use crate::node::upstream::events::{Piece, StreamBroken};
+use crate::node::upstream::events::{StreamChunk, StreamError};
 use accept::Acceptor;
 use intake::body::BodyPermit;
 use intake::connection::{BUFFER, ConnectionState, Framed};
@@ -57,23 +57,23 @@
 
 /// A stream's body: pieces as they come, cut off where the stream broke.
 pub struct Pieces {
-    pieces: mpsc::Receiver<Piece>,
+    pieces: mpsc::Receiver<StreamChunk>,
     state: Option<Rc<ConnectionState>>,
 }
 
 impl Pieces {
     /// The body for a stream.
-    pub fn new(pieces: mpsc::Receiver<Piece>) -> Self {
+    pub fn new(pieces: mpsc::Receiver<StreamChunk>) -> Self {
         Pieces { pieces, state: None }
     }
 
     /// The whole of it in one piece; one that goes on and on is spoilt.
-    pub async fn whole(mut self) -> Result<Bytes, StreamBroken> {
+    pub async fn whole(mut self) -> Result<Bytes, StreamError> {
         let mut text = BytesMut::new();
         while let Some(piece) = self.pieces.recv().await {
             text.extend_from_slice(&piece?);
             if text.len() > WHOLE_MOST {
-                return Err(StreamBroken::Spoilt);
+                return Err(StreamError::Malformed);
             }
         }
         Ok(text.freeze())
@@ -88,11 +88,11 @@
 
 impl Body for Pieces {
     type Data = Bytes;
-    type Error = StreamBroken;
+    type Error = StreamError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, StreamBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         self.pieces.poll_recv(cx).map(|piece| piece.map(|p| p.map(Frame::data)))
     }
 }
--- a/src/node/front/platform.rs
+++ b/src/node/front/platform.rs
@@ -25,7 +25,7 @@
 use crate::node::process::shutdown::Shutdown;
 use crate::node::request::{Answer, Given};
 use crate::node::upstream::attempt::Payload;
-use crate::node::upstream::headers::end_to_end;
+use crate::node::upstream::headers::end_to_end_headers;
 use crate::wire::Names;
 
 /// Ids remembered after their requests have ended, to turn repeats down: minutes of a busy conductor, in under half a megabyte.
@@ -199,7 +199,7 @@
         let on_the_way = ON_THE_WAY.min(ask.time_left / ON_THE_WAY_PART);
         ask.time_left -= arrived.elapsed().as_micros() as Micros + on_the_way;
         let target = request.uri().path_and_query().cloned().ok_or(Malformed::Path)?;
-        let payload = Payload { id, target, headers: end_to_end(request.headers()), body };
+        let payload = Payload { id, target, headers: end_to_end_headers(request.headers()), body };
         let Given { answer, revision } =
             begin(&self.core, &self.shutdown, ask, (payload, permit), open).await;
         let mut reply = match answer {
@@ -321,7 +321,9 @@
     reply
 }
 
-fn stream(content_type: Option<HeaderValue>, pieces: tokio::sync::mpsc::Receiver<super::Piece>) -> Reply {
+fn stream(
+    content_type: Option<HeaderValue>, pieces: tokio::sync::mpsc::Receiver<super::StreamChunk>,
+) -> Reply {
     let mut reply = Response::new(Either::Right(Pieces::new(pieces)));
     let kind = content_type.unwrap_or(HeaderValue::from_static("text/event-stream"));
     reply.headers_mut().insert(CONTENT_TYPE, kind);
--- a/src/node/front/tests.rs
+++ b/src/node/front/tests.rs
@@ -18,5 +18,5 @@
     };
     let most = WHOLE_MOST / piece.len();
     assert_eq!(whole(most).await.map(|text| text.len()), Ok(WHOLE_MOST));
-    assert_eq!(whole(usize::MAX).await, Err(StreamBroken::Spoilt));
+    assert_eq!(whole(usize::MAX).await, Err(StreamError::Malformed));
 }
--- a/src/node/list/fleet.rs
+++ b/src/node/list/fleet.rs
@@ -10,7 +10,7 @@
 use super::start_times::StartTimes;
 use crate::api::*;
 use crate::node::counters::add;
-use crate::node::upstream::pool::Site;
+use crate::node::upstream::pool::Endpoint;
 use crate::node::{Clock, Core};
 use crate::wire::Names;
 
@@ -148,7 +148,7 @@
     /// What stood idle there was opened to the process before its restart.
     fn forget_connections(&self, id: &str) {
         if let Some(host) = self.known(id) {
-            self.core.upstream.pool().distrust(host);
+            self.core.upstream.pool().mark_unresponsive(host);
         }
     }
 
@@ -166,7 +166,7 @@
                 State::Terminating => Phase::Draining,
                 State::Gone => Phase::Gone,
             };
-            let (zone, kind, phase, role) = match (zone, kind, pool.site(host)) {
+            let (zone, kind, phase, role) = match (zone, kind, pool.endpoint(host)) {
                 (Some(zone), Some(kind), _) => (zone, kind, phase, self.settings.kinds[kind].role),
                 // An instance that is known by now: nothing more to what cannot be placed.
                 (_, _, Some(site)) => {
@@ -187,12 +187,12 @@
                 }
             };
             let name = target.id.as_str().into();
-            let site = Site { name, addr: target.addr, role, ready: phase == Phase::Serving };
+            let site = Endpoint { name, addr: target.addr, role, is_ready: phase == Phase::Serving };
             if phase == Phase::Gone {
                 self.ids.borrow_mut().remove(&target.id);
                 starts.forget(&target.id);
             }
-            pool.place(host, Some(site).filter(|_| phase != Phase::Gone));
+            pool.set_endpoint(host, Some(site).filter(|_| phase != Phase::Gone));
             members.push(Member {
                 host,
                 zone: ZoneId(zone),
@@ -205,7 +205,7 @@
         if whole {
             let named: HashSet<HostId> = members.iter().map(|m| m.host).collect();
             let named = |host: &HostId| named.contains(host);
-            pool.hosts().into_iter().filter(|h| !named(h)).for_each(|host| pool.place(host, None));
+            pool.hosts().into_iter().filter(|h| !named(h)).for_each(|host| pool.set_endpoint(host, None));
             self.ids.borrow_mut().retain(named);
             starts.retain(|id| self.ids.borrow().numbers.contains_key(id));
         }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -102,7 +102,7 @@
 
 /// Tells the log of an instance that fails again and again.
 pub fn log_suspect(core: &Core, host: HostId, failures: u32) {
-    let instance = core.upstream.pool().name(host);
+    let instance = core.upstream.pool().instance_name(host);
     tracing::warn!(%instance, failures, "planner: fails again and again, single trials only");
 }
 
--- a/src/node/policy_gate.rs
+++ b/src/node/policy_gate.rs
@@ -108,7 +108,7 @@
             if let Some(policy) = active.policy.as_ref().filter(|_| active.revision != seen) {
                 seen = active.revision;
                 intake.limit(policy.client_connections);
-                pool.limit(policy.instance_connections);
+                pool.set_connection_limit(policy.instance_connections);
             }
         }
     }
--- a/src/node/process/config.rs
+++ b/src/node/process/config.rs
@@ -144,7 +144,7 @@
     /// Leaves so many sockets to another front of the same process: the limit counts for all of it.
     pub fn leave(&mut self, sockets: usize) {
         let less = |own: usize| own.saturating_sub(sockets.div_ceil(2)).max(8);
-        (self.intake, self.pool.connections) = (less(self.intake), less(self.pool.connections));
+        (self.intake, self.pool.max_connections) = (less(self.intake), less(self.pool.max_connections));
     }
 
     fn parse(text: &[u8]) -> Result<Self, String> {
@@ -174,10 +174,10 @@
             settings,
             names,
             pool: PoolLimits {
-                connect: millis(node.limits.connect_timeout, 1.0),
+                connect_timeout: millis(node.limits.connect_timeout, 1.0),
                 // Well before the instance closes it: a request that crosses a close ends as a reset.
-                idle: millis(node.limits.idle_close * 0.5, 1.0),
-                connections: percent(sockets, 44),
+                max_idle_time: millis(node.limits.idle_close * 0.5, 1.0),
+                max_connections: percent(sockets, 44),
             },
             intake: percent(sockets, 48),
             body_bytes: percent(file.limits.memory_mb.min(4_096) * 1024 * 1024, 30),
@@ -358,9 +358,9 @@
             default_max_tokens: file.default_max_tokens,
             server_headers,
             pool: PoolLimits {
-                connect: millis(file.connect_timeout_ms, 1.0),
-                idle: millis(file.idle_close_ms * 0.5, 1.0),
-                connections: file.server_connections.clamp(1, 4_096),
+                connect_timeout: millis(file.connect_timeout_ms, 1.0),
+                max_idle_time: millis(file.idle_close_ms * 0.5, 1.0),
+                max_connections: file.server_connections.clamp(1, 4_096),
             },
             intake: file.client_connections.clamp(1, 4_096),
             body_bytes: 32 * 1024 * 1024,
--- a/src/node/process/succession.rs
+++ b/src/node/process/succession.rs
@@ -211,7 +211,7 @@
                 let others = if part { self.shares.get() + 1 } else { self.shares.get().saturating_sub(1) };
                 self.shares.set(others);
                 self.intake.share(others > 0);
-                self.fleet.core().upstream.pool().share(others > 0);
+                self.fleet.core().upstream.pool().set_shared(others > 0);
             }
             Effect::Note(happening) => self.shutdown.note(happening),
             Effect::Ban(id) => drop(self.fleet.ban(&id).await),
--- a/src/node/request.rs
+++ b/src/node/request.rs
@@ -15,11 +15,11 @@
 use super::{Core, span};
 use crate::api::{AttemptId, HostId, Load, Micros, NewRequest, Outcome};
 use crate::control::state::Revision;
-use crate::node::upstream::attempt::{First, Payload};
-use crate::node::upstream::events::{Form, Piece, StreamBroken};
+use crate::node::upstream::attempt::{InitialResult, Payload};
+use crate::node::upstream::events::{AnswerHead, StreamChunk, StreamError};
 use crate::node::upstream::lease_keeper::LeaseKeeper;
-use crate::node::upstream::pool::EndWitness;
-use crate::node::upstream::relay::{self, Passed};
+use crate::node::upstream::pool::CloseGuard;
+use crate::node::upstream::relay::{self, RelayEnd};
 use crate::node::upstream::release::ReleaseReason;
 
 /// Past the deadline, after which a request without a decision is answered as failed. The rules allow more.
@@ -30,9 +30,9 @@
     /// A stream or a whole answer of one instance.
     Events {
         /// What the instance said that it is.
-        form: Form,
+        form: AnswerHead,
         /// Its bytes as they come.
-        pieces: mpsc::Receiver<Piece>,
+        pieces: mpsc::Receiver<StreamChunk>,
     },
     /// Refused: trying again is harmless.
     Refused {
@@ -152,9 +152,10 @@
 
 impl<'a> AttemptTrace<'a> {
     fn begun(core: &'a Core, request: &Rc<str>, number: AttemptId, host: HostId, until: Instant) -> Self {
-        let (request, instance, begun) = (request.clone(), core.upstream.pool().name(host), Instant::now());
+        let (request, instance, begun) =
+            (request.clone(), core.upstream.pool().instance_name(host), Instant::now());
         let time_out_ms = until.saturating_duration_since(begun).as_millis() as u64;
-        let reads = core.upstream.reads(host);
+        let reads = core.upstream.is_reader(host);
         tracing::debug!(%request, attempt = number.0, %instance, reads, time_out_ms, "attempt: begun");
         AttemptTrace { core, request, number, instance, begun, answered: false }
     }
@@ -164,7 +165,7 @@
         let (attempt, took_ms) = (number.0, begun.elapsed().as_millis() as u64);
         tracing::debug!(%request, attempt, %instance, ?outcome, took_ms, "attempt: ended");
         let unanswered = !self.answered && matches!(outcome, Outcome::TimedOut | Outcome::Broken);
-        if let Some(left_out) = unanswered.then(|| core.upstream.log_unanswered()).flatten() {
+        if let Some(left_out) = unanswered.then(|| core.upstream.sample_unanswered()).flatten() {
             tracing::info!(%request, attempt, %instance, ?outcome, took_ms, left_out, "attempt: no answer");
         }
     }
@@ -229,7 +230,7 @@
                 break;
             }
             Next::Order(Order::Release) => {
-                lease.release(ReleaseReason::Ordered);
+                lease.request_release(ReleaseReason::Ordered);
                 continue;
             }
             Next::Order(Order::Parted) => break,
@@ -263,13 +264,13 @@
         }
 
         // 2. The attempt, until it ends, is withdrawn, or its stream begins.
-        let reader = core.upstream.reads(host);
+        let reader = core.upstream.is_reader(host);
         if reader {
             tokio::select! {
                 biased;
                 // Told below, by the look before the first byte.
                 () = caller.left() => {}
-                () = lease.before_read() => {}
+                () = lease.prepare_read() => {}
             }
         }
         let until = (begun + span(time_out)).min(deadline);
@@ -289,17 +290,17 @@
         )
         .await;
         let mut events = match first {
-            First::Began(events) => events,
-            First::Read(kept) => {
+            InitialResult::Streaming(events) => events,
+            InitialResult::PromptRead(kept) => {
                 trace.ended(Outcome::Read);
-                lease.ended(Outcome::Read);
+                lease.attempt_ended(Outcome::Read);
                 let (outcome, last, end) = ended(Outcome::Read, over, kept, load);
                 handle.ended(attempt, host, outcome, last, end);
                 if over { break } else { continue }
             }
-            First::Ended(outcome) => {
+            InitialResult::Ended(outcome) => {
                 trace.ended(outcome);
-                lease.ended(outcome);
+                lease.attempt_ended(outcome);
                 let (outcome, last, end) = ended(outcome, over, 0.0, load);
                 handle.ended(attempt, host, outcome, last, end);
                 if over { break } else { continue }
@@ -309,33 +310,33 @@
         // 3. The stream: it is this client's from its first event on, and no deadline runs any more. It is never sent
         // again, so the payload, far larger than the events that wait, goes now.
         drop((payload, permit));
-        lease.stream_began();
+        lease.stream_started();
         trace.answered = true;
         if !whole {
             // A whole answer tells nothing of the time to a first token.
             handle.began(attempt, host, begun.elapsed().as_micros() as Micros);
         }
-        let (pieces, receiver) = mpsc::channel(relay::WAITING);
-        let form = events.form().clone();
+        let (pieces, receiver) = mpsc::channel(relay::MAX_WAITING_CHUNKS);
+        let form = events.head().clone();
         let passed = if over || !caller.answer(Answer::Events { form, pieces: receiver }) {
-            Passed::ClientLeft
+            RelayEnd::ClientLeft
         } else {
             tokio::select! {
-                passed = relay::pass(&mut events, &pieces) => passed,
+                passed = relay::forward_events(&mut events, &pieces) => passed,
                 () = moved(&mut handle) => {
                     // The client comes again for the rest.
-                    let _ = pieces.try_send(Err(StreamBroken::Cut));
-                    Passed::Broken(StreamBroken::Cut)
+                    let _ = pieces.try_send(Err(StreamError::Cut));
+                    RelayEnd::Broken(StreamError::Cut)
                 }
             }
         };
         drop((events, pieces));
         let outcome = match passed {
-            Passed::Whole => (add(&counters.served), Outcome::Served).1,
-            Passed::Broken(StreamBroken::Cut) => (add(&counters.broken), Outcome::Broken).1,
-            Passed::Broken(StreamBroken::Spoilt) => (add(&counters.broken), Outcome::Spoilt).1,
-            Passed::Failed => (add(&counters.failed), Outcome::Error).1,
-            Passed::ClientLeft => {
+            RelayEnd::Complete => (add(&counters.served), Outcome::Served).1,
+            RelayEnd::Broken(StreamError::Cut) => (add(&counters.broken), Outcome::Broken).1,
+            RelayEnd::Broken(StreamError::Malformed) => (add(&counters.broken), Outcome::Spoilt).1,
+            RelayEnd::ErrorEvent => (add(&counters.failed), Outcome::Error).1,
+            RelayEnd::ClientLeft => {
                 if !over {
                     add(&counters.left);
                     handle.left();
@@ -352,11 +353,11 @@
 
 /// One attempt up to its first event. A client that leaves is told to the planner, which withdraws the attempt.
 async fn attempt_at(
-    core: &Core, (host, attempt, until, witness): (HostId, AttemptId, Instant, Option<EndWitness>),
+    core: &Core, (host, attempt, until, witness): (HostId, AttemptId, Instant, Option<CloseGuard>),
     payload: &Payload, handle: &mut RequestHandle, caller: &mut Caller, over: &mut bool, overdue: Instant,
-) -> (First, Option<Load>) {
-    let withdrawn = (First::Ended(Outcome::Cancelled), None);
-    let first = core.upstream.first(host, payload, until, (caller.wanted(), witness));
+) -> (InitialResult, Option<Load>) {
+    let withdrawn = (InitialResult::Ended(Outcome::Cancelled), None);
+    let first = core.upstream.start_attempt(host, payload, until, (caller.wanted(), witness));
     tokio::pin!(first);
     loop {
         tokio::select! {
--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -12,10 +12,10 @@
 use serde::Deserialize;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use super::events::Events;
+use super::events::EventStream;
 use super::headers::{REQUEST_ID, REQUEST_TIMEOUT};
-use super::pool::{Connection, EndWitness, LocalFaults, NoConnection, Pool, Reuse};
-use super::socket::{HeldBack, Outgoing, SendCheck, WriteMark};
+use super::pool::{CloseGuard, ConnectError, Connection, LocalFaultHandling, Pool, Reuse};
+use super::socket::{NotSentReason, RequestBody, SendCheck, WriteStatus};
 use crate::api::{HostId, Load, Micros, Outcome, Role};
 use crate::node::counters::{Counters, add};
 use crate::node::log_sampler::LogSampler;
@@ -32,7 +32,7 @@
 
 /// What a fleet's instances speak.
 #[derive(Clone, Debug)]
-pub enum Dialect {
+pub enum Protocol {
     /// The platform's protocol, in which readers hold states.
     Platform {
         /// For how long at most.
@@ -56,11 +56,11 @@
 }
 
 /// What an attempt came to before any event was passed on.
-pub enum First {
+pub enum InitialResult {
     /// The stream has begun.
-    Began(Box<Events>),
+    Streaming(Box<EventStream>),
     /// The prompt is read, with so many tokens found kept.
-    Read(f64),
+    PromptRead(f64),
     /// It ended otherwise.
     Ended(Outcome),
 }
@@ -68,7 +68,7 @@
 /// Why a request got no answer.
 enum Unanswered {
     /// It was stopped before its first byte.
-    HeldBack(HeldBack),
+    NotSentReason(NotSentReason),
     /// There was no connection, or it ended before the last byte was written: the request never ran.
     NeverWritten,
     /// This machine could not open a connection.
@@ -82,7 +82,7 @@
 /// One fleet's instances and how to talk to them.
 pub struct Upstream {
     pool: Rc<Pool>,
-    dialect: Dialect,
+    dialect: Protocol,
     counters: Rc<Counters>,
     unanswered: LogSampler,
 }
@@ -121,11 +121,11 @@
 }
 
 /// The outcome that an answer's head tells when it is neither a stream nor a read.
-fn turned(dialect: &Dialect, status: StatusCode, headers: &HeaderMap) -> Outcome {
+fn turned(dialect: &Protocol, status: StatusCode, headers: &HeaderMap) -> Outcome {
     let never_ran = match dialect {
-        Dialect::Platform { .. } => headers.get("not-started").is_some_and(|v| v == "1"),
+        Protocol::Platform { .. } => headers.get("not-started").is_some_and(|v| v == "1"),
         // Public servers turn a request away before it runs with 429 only; a 503 may come after a start.
-        Dialect::Chat(_) => status == StatusCode::TOO_MANY_REQUESTS,
+        Protocol::Chat(_) => status == StatusCode::TOO_MANY_REQUESTS,
     };
     match (never_ran, status) {
         (true, StatusCode::GONE) => Outcome::NoState,
@@ -136,7 +136,7 @@
 
 impl Upstream {
     /// A fleet behind this pool.
-    pub fn new(pool: Rc<Pool>, dialect: Dialect, counters: Rc<Counters>) -> Self {
+    pub fn new(pool: Rc<Pool>, dialect: Protocol, counters: Rc<Counters>) -> Self {
         Upstream { pool, dialect, counters, unanswered: LogSampler::default() }
     }
 
@@ -151,13 +151,13 @@
     }
 
     /// Whether an attempt without an answer is logged now, and how many were not since the last one that was.
-    pub fn log_unanswered(&self) -> Option<u64> {
+    pub fn sample_unanswered(&self) -> Option<u64> {
         self.unanswered.sample()
     }
 
     /// Whether a host is a reader, where states may be left.
-    pub fn reads(&self, host: HostId) -> bool {
-        self.pool.site(host).is_none_or(|s| s.role == Role::Read)
+    pub fn is_reader(&self, host: HostId) -> bool {
+        self.pool.endpoint(host).is_none_or(|s| s.role == Role::Read)
     }
 
     /// Whether anything can be held at this fleet's instances.
@@ -168,58 +168,58 @@
     /// For how long a state may be held with no attempt out, where any is held.
     pub fn pin_limit(&self) -> Option<Micros> {
         match self.dialect {
-            Dialect::Platform { pin_limit } => Some(pin_limit),
-            Dialect::Chat(_) => None,
+            Protocol::Platform { pin_limit } => Some(pin_limit),
+            Protocol::Chat(_) => None,
         }
     }
 
     /// Sends the request to a host and waits until `until` for what it comes to. Dropping the future gives the
     /// attempt up: its connection ends. It does not begin once its client is no longer `wanted`. A witness lives until the server is
     /// known to have heard of an end without its answer.
-    pub async fn first(
+    pub async fn start_attempt(
         self: &Rc<Self>, host: HostId, payload: &Payload, until: Instant,
-        (wanted, witness): (Wanted, Option<EndWitness>),
-    ) -> (First, Option<Load>) {
+        (wanted, witness): (Wanted, Option<CloseGuard>),
+    ) -> (InitialResult, Option<Load>) {
         let (begun, mut written) = (Instant::now(), None);
         if begun >= until {
             // This process did not run for a while; nothing is said against the host.
-            return (First::Ended(Outcome::Moot), None);
+            return (InitialResult::Ended(Outcome::Moot), None);
         }
         add(&self.counters.attempts);
         match timeout_at(until, self.exchange(host, payload, (until, wanted, witness), &mut written)).await {
-            Ok((First::Ended(outcome), load)) => {
+            Ok((InitialResult::Ended(outcome), load)) => {
                 if matches!(outcome, Outcome::Unreachable | Outcome::Broken) {
-                    self.pool.distrust(host);
+                    self.pool.mark_unresponsive(host);
                 }
-                (First::Ended(outcome), load)
+                (InitialResult::Ended(outcome), load)
             }
             Ok(first) => first,
             Err(_) => {
-                self.pool.silent_since(host, begun);
-                let ran = written.is_some_and(|mark: WriteMark| mark.written());
-                (First::Ended(if ran { Outcome::TimedOut } else { Outcome::Unreachable }), None)
+                self.pool.report_silence_since(host, begun);
+                let ran = written.is_some_and(|mark: WriteStatus| mark.is_written());
+                (InitialResult::Ended(if ran { Outcome::TimedOut } else { Outcome::Unreachable }), None)
             }
         }
     }
 
     async fn exchange(
         self: &Rc<Self>, host: HostId, payload: &Payload,
-        (until, wanted, witness): (Instant, Wanted, Option<EndWitness>), written: &mut Option<WriteMark>,
-    ) -> (First, Option<Load>) {
-        let ended = |outcome| (First::Ended(outcome), None);
+        (until, wanted, witness): (Instant, Wanted, Option<CloseGuard>), written: &mut Option<WriteStatus>,
+    ) -> (InitialResult, Option<Load>) {
+        let ended = |outcome| (InitialResult::Ended(outcome), None);
         let check = SendCheck::Attempt { wanted, until };
-        let fill = |request: &mut Request<Outgoing>| self.head(host, payload, until, request);
+        let fill = |request: &mut Request<RequestBody>| self.head(host, payload, until, request);
         let (connection, response) = match self
-            .send(host, &payload.body, (check, Reuse::Kept, witness), fill, written)
+            .send(host, &payload.body, (check, Reuse::Allowed, witness), fill, written)
             .await
         {
             Ok(answered) => answered,
-            Err(Unanswered::HeldBack(why)) => {
+            Err(Unanswered::NotSentReason(why)) => {
                 add(&self.counters.held_back);
-                tracing::info!(request = %payload.id, instance = %self.pool.name(host), "attempt: not sent, {why}");
+                tracing::info!(request = %payload.id, instance = %self.pool.instance_name(host), "attempt: not sent, {why}");
                 return ended(match why {
-                    HeldBack::ClientGone | HeldBack::TooLate => Outcome::Moot,
-                    HeldBack::Drains => Outcome::Unreachable,
+                    NotSentReason::ClientGone | NotSentReason::TooLate => Outcome::Moot,
+                    NotSentReason::Drains => Outcome::Unreachable,
                 });
             }
             Err(Unanswered::NeverWritten) => return ended(Outcome::Unreachable),
@@ -231,25 +231,25 @@
         let (head, body) = response.into_parts();
         let report = head.headers.get("server-load").and_then(|v| load(v.as_bytes()));
         if head.status == StatusCode::OK || self.is_answer(head.status) {
-            let chat = matches!(self.dialect, Dialect::Chat(_));
+            let chat = matches!(self.dialect, Protocol::Chat(_));
             let from = (self.pool.clone(), host, connection);
-            let mut events = Events::new(from, body, (head.status, head.headers), chat);
+            let mut events = EventStream::new(from, body, (head.status, head.headers), chat);
             return match events.open().await {
-                Ok(()) => (First::Began(Box::new(events)), report),
-                Err(outcome) => (First::Ended(outcome), report),
+                Ok(()) => (InitialResult::Streaming(Box::new(events)), report),
+                Err(outcome) => (InitialResult::Ended(outcome), report),
             };
         }
         let whole = Limited::new(body, ANSWER_MOST).collect().await.map(|b| b.to_bytes());
         if whole.is_ok() {
-            self.pool.keep(host, connection);
+            self.pool.put_back(host, connection);
         }
         match (head.status, whole) {
             (StatusCode::ACCEPTED, Ok(text)) if self.holds() => {
                 let kept = serde_json::from_slice(&text).map_or(0.0, |a: ReadAnswer| a.cached_tokens);
-                (First::Read(kept), report)
+                (InitialResult::PromptRead(kept), report)
             }
             (StatusCode::ACCEPTED, Err(_)) => ended(Outcome::Broken),
-            (status, _) => (First::Ended(turned(&self.dialect, status, &head.headers)), report),
+            (status, _) => (InitialResult::Ended(turned(&self.dialect, status, &head.headers)), report),
         }
     }
 
@@ -258,20 +258,23 @@
     /// closed, is another one used. Nothing is ever sent twice.
     async fn send(
         &self, host: HostId, data: &Bytes,
-        (check, reuse, mut witness): (SendCheck, Reuse, Option<EndWitness>),
-        fill: impl Fn(&mut Request<Outgoing>), written: &mut Option<WriteMark>,
+        (check, reuse, mut witness): (SendCheck, Reuse, Option<CloseGuard>),
+        fill: impl Fn(&mut Request<RequestBody>), written: &mut Option<WriteStatus>,
     ) -> Result<(Connection, Response<Incoming>), Unanswered> {
         // A probe is not worth a wait, and its own time-out would be held against the host.
-        let local_faults =
-            if matches!(check, SendCheck::Probe) { LocalFaults::Tell } else { LocalFaults::WaitOut };
+        let local_faults = if matches!(check, SendCheck::Probe) {
+            LocalFaultHandling::Fail
+        } else {
+            LocalFaultHandling::Retry
+        };
         loop {
             *written = None;
             let mut connection =
-                self.pool.connection(host, local_faults, reuse).await.map_err(|why| match why {
-                    NoConnection::Unreachable => Unanswered::NeverWritten,
-                    NoConnection::LocalFault => Unanswered::LocalFault,
+                self.pool.acquire(host, local_faults, reuse).await.map_err(|why| match why {
+                    ConnectError::Unreachable => Unanswered::NeverWritten,
+                    ConnectError::LocalFault => Unanswered::LocalFault,
                 })?;
-            let (body, mark) = connection.body(data.clone(), check.clone());
+            let (body, mark) = connection.request_body(data.clone(), check.clone());
             *written = Some(mark.clone());
             let mut request = Request::new(body);
             fill(&mut request);
@@ -284,11 +287,11 @@
                 Err(fault) => fault,
             };
             if let Some(why) = mark.held_back() {
-                return Err(Unanswered::HeldBack(why));
+                return Err(Unanswered::NotSentReason(why));
             }
-            let untouched = fault.take_message().is_some() && !mark.written();
+            let untouched = fault.take_message().is_some() && !mark.is_written();
             if !untouched || connection.fresh() {
-                return Err(match (mark.written(), fault.error().is_parse()) {
+                return Err(match (mark.is_written(), fault.error().is_parse()) {
                     (false, _) => Unanswered::NeverWritten,
                     (true, true) => Unanswered::Unreadable,
                     (true, false) => Unanswered::Lost,
@@ -301,14 +304,14 @@
     /// answer: another server would say the same.
     fn is_answer(&self, status: StatusCode) -> bool {
         let own = [401, 403, 407, 408, 409, 425, 429].contains(&status.as_u16());
-        matches!(self.dialect, Dialect::Chat(_)) && status.is_client_error() && !own
+        matches!(self.dialect, Protocol::Chat(_)) && status.is_client_error() && !own
     }
 
     fn head<B>(&self, host: HostId, payload: &Payload, until: Instant, request: &mut Request<B>) {
         *request.method_mut() = Method::POST;
         *request.uri_mut() = payload.target.clone().into();
         let headers = request.headers_mut();
-        if let Dialect::Chat(extra) = &self.dialect {
+        if let Protocol::Chat(extra) = &self.dialect {
             headers.extend(extra.clone());
         }
         self.host_header(host, headers);
@@ -321,7 +324,7 @@
     }
 
     fn host_header(&self, host: HostId, headers: &mut HeaderMap) {
-        let addr = self.pool.site(host).and_then(|s| HeaderValue::from_str(&s.addr.to_string()).ok());
+        let addr = self.pool.endpoint(host).and_then(|s| HeaderValue::from_str(&s.addr.to_string()).ok());
         addr.map(|addr| headers.insert(HOST, addr));
     }
 
@@ -329,7 +332,7 @@
     async fn call(
         &self, host: HostId, how: (SendCheck, Reuse), method: Method, path: PathAndQuery,
     ) -> Result<Response<Bytes>, Unanswered> {
-        let fill = |request: &mut Request<Outgoing>| {
+        let fill = |request: &mut Request<RequestBody>| {
             *request.method_mut() = method.clone();
             *request.uri_mut() = path.clone().into();
             self.host_header(host, request.headers_mut());
@@ -338,15 +341,15 @@
             self.send(host, &Bytes::new(), (how.0, how.1, None), fill, &mut None).await?;
         let (head, body) = response.into_parts();
         let body = Limited::new(body, ANSWER_MOST).collect().await.map_err(|_| Unanswered::Lost)?.to_bytes();
-        self.pool.keep(host, connection);
+        self.pool.put_back(host, connection);
         Ok(Response::from_parts(head, body))
     }
 
     /// Lets go of all that is held for the request, by way of one host; whether that host took the call.
-    pub async fn release_at(&self, host: HostId, id: &str, reuse: Reuse) -> bool {
+    pub async fn send_release(&self, host: HostId, id: &str, reuse: Reuse) -> bool {
         let Ok(path) = PathAndQuery::try_from(format!("{LEASES}/{id}")) else { return false };
         // Nothing new: also what drains lets go.
-        let answer = self.call(host, (SendCheck::Passed, reuse), Method::DELETE, path).await;
+        let answer = self.call(host, (SendCheck::Unchecked, reuse), Method::DELETE, path).await;
         answer.is_ok_and(|a| a.status().is_success())
     }
 
@@ -354,7 +357,7 @@
     pub async fn probe(&self, host: HostId) -> (Outcome, Option<Load>) {
         add(&self.counters.probes);
         let asked =
-            self.call(host, (SendCheck::Probe, Reuse::Kept), Method::GET, PathAndQuery::from_static(LOAD));
+            self.call(host, (SendCheck::Probe, Reuse::Allowed), Method::GET, PathAndQuery::from_static(LOAD));
         match timeout(PROBE, asked).await {
             Ok(Ok(answer)) if answer.status() == StatusCode::OK => (Outcome::Served, load(answer.body())),
             Ok(Ok(_)) => (Outcome::Error, None),
--- a/src/node/upstream/events.rs
+++ b/src/node/upstream/events.rs
@@ -18,17 +18,17 @@
 
 /// The stream ended before it was whole; the client's connection must show it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum StreamBroken {
+pub enum StreamError {
     /// It was cut off, or went silent.
     #[error("the stream was cut off")]
     Cut,
     /// It went on with what is no event stream.
     #[error("the stream was spoilt")]
-    Spoilt,
+    Malformed,
 }
 
 /// A piece of a stream, or that it broke.
-pub type Piece = Result<Bytes, StreamBroken>;
+pub type StreamChunk = Result<Bytes, StreamError>;
 
 /// Time without an event after which a running stream is taken for dead. Clients are not to wait 5 s for nothing.
 const SILENCE: Duration = Duration::from_millis(4_300);
@@ -39,49 +39,49 @@
 
 /// What an instance says that its answer is; the core carries it to the front.
 #[derive(Clone, Debug)]
-pub struct Form {
+pub struct AnswerHead {
     /// The status.
     pub status: StatusCode,
     /// The type of content.
     pub content_type: Option<HeaderValue>,
 }
 
-impl Form {
+impl AnswerHead {
     /// Whether it comes as a stream of events.
-    pub fn streamed(&self) -> bool {
+    pub fn is_event_stream(&self) -> bool {
         self.content_type.as_ref().is_some_and(|v| v.as_bytes().starts_with(b"text/event-stream"))
     }
 }
 
 /// A running answer.
-pub struct Events {
+pub struct EventStream {
     pool: Rc<Pool>,
     host: HostId,
     connection: Option<Connection>,
     body: Incoming,
-    form: Form,
+    form: AnswerHead,
     ready: Option<Bytes>,
     framer: Option<Framer>,
     heard: Instant,
     ended: bool,
 }
 
-impl Events {
+impl EventStream {
     /// An answer whose head has come. `chat` says that its events name their end and their errors.
     pub fn new(
         (pool, host, connection): (Rc<Pool>, HostId, Connection), body: Incoming,
         (status, head): (StatusCode, HeaderMap), chat: bool,
     ) -> Self {
-        let form = Form { status, content_type: head.get(CONTENT_TYPE).cloned() };
-        let framer = form.streamed().then(|| Framer { chat, ..Framer::default() });
+        let form = AnswerHead { status, content_type: head.get(CONTENT_TYPE).cloned() };
+        let framer = form.is_event_stream().then(|| Framer { chat, ..Framer::default() });
         let (heard, connection) = (Instant::now(), Some(connection));
-        Events { pool, host, connection, body, form, ready: None, framer, heard, ended: false }
+        EventStream { pool, host, connection, body, form, ready: None, framer, heard, ended: false }
     }
 
     /// Waits for the first event. An answer that breaks, ends, is spoilt or tells an error before it has not begun.
     pub async fn open(&mut self) -> Result<(), Outcome> {
         let first = self.read().await;
-        if self.told_error() {
+        if self.has_error() {
             return Err(Outcome::Error);
         }
         match first {
@@ -89,30 +89,30 @@
                 self.ready = Some(bytes);
                 Ok(())
             }
-            Some(Err(StreamBroken::Spoilt)) => Err(Outcome::Spoilt),
+            Some(Err(StreamError::Malformed)) => Err(Outcome::Spoilt),
             _ => Err(Outcome::Broken),
         }
     }
 
     /// What the answer says it is.
-    pub fn form(&self) -> &Form {
+    pub fn head(&self) -> &AnswerHead {
         &self.form
     }
 
     /// Whether an event told an error.
-    pub fn told_error(&self) -> bool {
+    pub fn has_error(&self) -> bool {
         self.framer.as_ref().is_some_and(|f| f.error)
     }
 
     /// The next whole events as they came; none after the end of a whole stream.
-    pub async fn next(&mut self) -> Option<Result<Bytes, StreamBroken>> {
+    pub async fn next(&mut self) -> Option<Result<Bytes, StreamError>> {
         match self.ready.take() {
             Some(bytes) => Some(Ok(bytes)),
             None => self.read().await,
         }
     }
 
-    async fn read(&mut self) -> Option<Result<Bytes, StreamBroken>> {
+    async fn read(&mut self) -> Option<Result<Bytes, StreamError>> {
         loop {
             if self.ended {
                 return None;
@@ -131,13 +131,13 @@
                             self.heard = Instant::now();
                             return Some(Ok(bytes));
                         }
-                        Err(Spoilt) => return self.broke(StreamBroken::Spoilt),
+                        Err(Spoilt) => return self.broke(StreamError::Malformed),
                     }
                 }
                 Ok(None) if self.framer.as_mut().is_none_or(Framer::may_end) => {
                     self.ended = true;
                     if let Some(connection) = self.connection.take() {
-                        self.pool.keep(self.host, connection);
+                        self.pool.put_back(self.host, connection);
                     }
                     let rest = self.framer.as_mut().map(Framer::rest).filter(|rest| !rest.is_empty());
                     return rest.map(Ok);
@@ -147,27 +147,27 @@
                     self.heard = Instant::now() + OVERSLEPT - SILENCE;
                 }
                 // After an error event a break adds nothing: the client has its answer.
-                _ if self.told_error() => {
+                _ if self.has_error() => {
                     self.ended = true;
                     return None;
                 }
-                Ok(None) => return self.broke(StreamBroken::Cut),
+                Ok(None) => return self.broke(StreamError::Cut),
                 Ok(Some(Err(fault))) => {
                     return self.broke(if unreadable(&fault) {
-                        StreamBroken::Spoilt
+                        StreamError::Malformed
                     } else {
-                        StreamBroken::Cut
+                        StreamError::Cut
                     });
                 }
                 Err(_) => {
-                    self.pool.distrust(self.host);
-                    return self.broke(StreamBroken::Cut);
+                    self.pool.mark_unresponsive(self.host);
+                    return self.broke(StreamError::Cut);
                 }
             }
         }
     }
 
-    fn broke(&mut self, how: StreamBroken) -> Option<Result<Bytes, StreamBroken>> {
+    fn broke(&mut self, how: StreamError) -> Option<Result<Bytes, StreamError>> {
         self.ended = true;
         self.connection = None;
         Some(Err(how))
--- a/src/node/upstream/headers.rs
+++ b/src/node/upstream/headers.rs
@@ -33,7 +33,7 @@
 }
 
 /// The headers that go on unchanged, in the order in which they came.
-pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let dropped = |name: &HeaderName| {
         HOP_BY_HOP.contains(name) || WRITTEN_ANEW.contains(name) || named_by_connection(headers, name)
     };
--- a/src/node/upstream/headers/tests.rs
+++ b/src/node/upstream/headers/tests.rs
@@ -17,7 +17,7 @@
         ("content-type", "application/json"),
         ("x-anything", "two"),
     ]);
-    let passed = end_to_end(&came);
+    let passed = end_to_end_headers(&came);
     let passed: Vec<_> = passed.iter().map(|(name, value)| (name.as_str(), value.as_bytes())).collect();
     let wanted: [(&str, &[u8]); 4] = [
         ("idempotency-key", b"k-1"),
@@ -44,5 +44,5 @@
         ("request-id", "0a"),
         ("request-timeout-ms", "500"),
     ]);
-    assert!(end_to_end(&came).is_empty(), "{:?}", end_to_end(&came));
+    assert!(end_to_end_headers(&came).is_empty(), "{:?}", end_to_end_headers(&came));
 }
--- a/src/node/upstream/lease_keeper.rs
+++ b/src/node/upstream/lease_keeper.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 use super::attempt::Upstream;
-use super::pool::EndWitness;
+use super::pool::CloseGuard;
 use super::release::{ReleaseReason, release};
 use crate::api::{Micros, Outcome};
 use crate::logic::lease::{AttemptEnd, Lease};
@@ -60,7 +60,7 @@
 
     /// The prompt is about to be read. What an earlier read left is released first, as far as that takes no longer than
     /// [`RELEASE_FIRST`].
-    pub async fn before_read(&mut self) {
+    pub async fn prepare_read(&mut self) {
         let Some(pin_limit) = self.upstream.pin_limit() else { return };
         if self.task.is_some() {
             let (settled, is_settled) = oneshot::channel();
@@ -83,7 +83,7 @@
     }
 
     /// The prompt is sent to a reader, over a connection that keeps the result until its end is known there.
-    pub fn read_sent(&self) -> EndWitness {
+    pub fn read_sent(&self) -> CloseGuard {
         let (unknown, known) = oneshot::channel();
         self.tell(Happening::ReadSent(known));
         unknown
@@ -95,7 +95,7 @@
     }
 
     /// The attempt that was out has ended with no stream.
-    pub fn ended(&self, outcome: Outcome) {
+    pub fn attempt_ended(&self, outcome: Outcome) {
         self.tell(Happening::Ended(match outcome {
             Outcome::Read => AttemptEnd::Read,
             Outcome::Full | Outcome::Unreachable | Outcome::Moot => AttemptEnd::NothingLeft,
@@ -106,18 +106,18 @@
     }
 
     /// The stream has begun.
-    pub fn stream_began(&self) {
+    pub fn stream_started(&self) {
         self.tell(Happening::StreamBegan);
     }
 
     /// Nothing of what is held is of use any more.
-    pub fn release(&self, reason: ReleaseReason) {
+    pub fn request_release(&self, reason: ReleaseReason) {
         self.tell(Happening::Release(reason));
     }
 
     /// The request is over: waits until nothing is held and nothing can come to be held.
     pub async fn finish(mut self) {
-        self.release(ReleaseReason::RequestOver);
+        self.request_release(ReleaseReason::RequestOver);
         if let Some((happenings, task)) = self.task.take() {
             drop(happenings);
             let _ = task.await;
--- a/src/node/upstream/pool.rs
+++ b/src/node/upstream/pool.rs
@@ -22,7 +22,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::socket::{CheckedSocket, Outgoing, RequestSlot, SendCheck, WriteMark};
+use super::socket::{CheckedSocket, RequestBody, RequestSlot, SendCheck, WriteStatus};
 use crate::api::{HostId, Role};
 use crate::node::counters::{Counters, add};
 use crate::node::front::intake::shared;
@@ -52,7 +52,7 @@
 
 /// Why there is no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NoConnection {
+pub enum ConnectError {
     /// None came up in time, or none may be opened.
     #[error("no connection to the instance")]
     Unreachable,
@@ -63,20 +63,20 @@
 
 /// What to do while this machine cannot open a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LocalFaults {
+pub enum LocalFaultHandling {
     /// Try again for as long as a connection may take.
-    WaitOut,
+    Retry,
     /// Say so at once.
-    Tell,
+    Fail,
 }
 
 /// Which connections a call may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
     /// One that is kept, if there is one.
-    Kept,
+    Allowed,
     /// A new one: those that are kept may have fallen silent with no error.
-    New,
+    Never,
 }
 
 /// Whether the fault of a call is this machine's: nothing was sent, and the next try may succeed.
@@ -92,16 +92,16 @@
 #[derive(Clone, Debug)]
 pub struct PoolLimits {
     /// A connection not made within this is none.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// A connection idle for longer is not used again: the instance is about to close it.
-    pub idle: Duration,
+    pub max_idle_time: Duration,
     /// Most connections at once.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 /// Where an instance listens and what it does.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Site {
+pub struct Endpoint {
     /// Its id on the list, for the log.
     pub name: Rc<str>,
     /// Its address.
@@ -109,12 +109,12 @@
     /// What it does.
     pub role: Role,
     /// Whether it may be sent new work.
-    pub ready: bool,
+    pub is_ready: bool,
 }
 
 #[derive(Default)]
 struct InstancePool {
-    site: Option<Site>,
+    site: Option<Endpoint>,
     /// Whether the instance may be sent new work: shared with all connections to it.
     open: Rc<Cell<bool>>,
     idle: Vec<Connection>,
@@ -124,18 +124,18 @@
 }
 
 /// Lives until a server is known to have heard that an attempt was given up, or its connection has ended otherwise.
-pub type EndWitness = oneshot::Sender<()>;
+pub type CloseGuard = oneshot::Sender<()>;
 
 /// One connection to an instance. Dropping it closes the socket at once; with a witness its sending ends, and it is read until the
 /// server ends it as well.
 pub struct Connection {
-    sender: SendRequest<Outgoing>,
+    sender: SendRequest<RequestBody>,
     slot: RequestSlot,
     driver: AbortHandle,
     /// Where the driver finds the witness.
-    given_up: Rc<Cell<Option<EndWitness>>>,
+    given_up: Rc<Cell<Option<CloseGuard>>>,
     /// Of the attempt that is out.
-    pub(super) witness: Option<EndWitness>,
+    pub(super) witness: Option<CloseGuard>,
     since: Instant,
     fresh: bool,
 }
@@ -157,7 +157,7 @@
 impl GivenUp {
     /// Ends the sending on a connection, and reads it until its server ends it too: its witness goes with that. One above the
     /// most is closed at once.
-    async fn see_end(self, mut socket: CheckedSocket, witness: EndWitness, most: usize) {
+    async fn see_end(self, mut socket: CheckedSocket, witness: CloseGuard, most: usize) {
         if self.0.get() >= most {
             return;
         }
@@ -179,12 +179,12 @@
 
 impl Connection {
     /// A body for the next request on this connection, and the mark that tells when it is written.
-    pub fn body(&self, data: Bytes, check: SendCheck) -> (Outgoing, WriteMark) {
-        self.slot.body(data, check)
+    pub fn request_body(&self, data: Bytes, check: SendCheck) -> (RequestBody, WriteStatus) {
+        self.slot.request_body(data, check)
     }
 
     /// The sending half.
-    pub fn sender(&mut self) -> &mut SendRequest<Outgoing> {
+    pub fn sender(&mut self) -> &mut SendRequest<RequestBody> {
         &mut self.sender
     }
 
@@ -213,8 +213,8 @@
 impl Pool {
     /// An empty pool.
     pub fn new(mut limits: PoolLimits, counters: Rc<Counters>) -> Self {
-        limits.idle = limits.idle.min(IDLE_LONGEST);
-        let permits = Arc::new(Semaphore::new(limits.connections));
+        limits.max_idle_time = limits.max_idle_time.min(IDLE_LONGEST);
+        let permits = Arc::new(Semaphore::new(limits.max_connections));
         Pool {
             instances: RefCell::default(),
             limits,
@@ -229,20 +229,20 @@
     }
 
     /// Keeps to a part of the connections while another process of this conductor has the other, or takes the whole again.
-    pub fn share(&self, part: bool) {
+    pub fn set_shared(&self, part: bool) {
         self.permits.add_permits(self.left.take());
         if part {
             // What is idle beyond the part closes within 2 s; what is in use ends with its exchange.
-            let others = self.limits.connections - shared(self.limits.connections);
+            let others = self.limits.max_connections - shared(self.limits.max_connections);
             self.left.set(self.permits.forget_permits(others));
         }
     }
 
     /// Keeps to so many connections at most, within the limit of the start; none lifts that. What is in use beyond it ends
     /// with its exchange.
-    pub fn limit(&self, most: Option<usize>) {
+    pub fn set_connection_limit(&self, most: Option<usize>) {
         self.permits.add_permits(self.left.take());
-        let others = self.limits.connections.saturating_sub(most.unwrap_or(self.limits.connections));
+        let others = self.limits.max_connections.saturating_sub(most.unwrap_or(self.limits.max_connections));
         self.wanted_left.set(others);
         self.trim();
     }
@@ -254,13 +254,13 @@
     }
 
     /// Takes in where an instance listens, or that it is gone. A new address makes old connections useless.
-    pub fn place(&self, host: HostId, site: Option<Site>) {
+    pub fn set_endpoint(&self, host: HostId, site: Option<Endpoint>) {
         let mut instances = self.instances.borrow_mut();
         let Some(site) = site else {
             return drop(instances.remove(&host).inspect(|instance| instance.open.set(false)));
         };
         let instance = instances.entry(host).or_default();
-        instance.open.set(site.ready);
+        instance.open.set(site.is_ready);
         if instance.site.as_ref().is_none_or(|old| old.addr != site.addr) {
             instance.idle.clear();
         }
@@ -268,13 +268,13 @@
     }
 
     /// Where an instance listens.
-    pub fn site(&self, host: HostId) -> Option<Site> {
+    pub fn endpoint(&self, host: HostId) -> Option<Endpoint> {
         self.instances.borrow().get(&host)?.site.clone()
     }
 
     /// The id of an instance, for the log.
-    pub fn name(&self, host: HostId) -> Rc<str> {
-        self.site(host).map_or_else(|| format!("host {}", host.0).into(), |site| site.name)
+    pub fn instance_name(&self, host: HostId) -> Rc<str> {
+        self.endpoint(host).map_or_else(|| format!("host {}", host.0).into(), |site| site.name)
     }
 
     /// The hosts known.
@@ -284,9 +284,9 @@
 
     /// Of the hosts so many, the likeliest to answer first: of the ready ones those that are not suspect, with a connection at hand,
     /// last heard from first; then those that drain.
-    pub fn likeliest(&self, most: usize) -> Vec<HostId> {
+    pub fn most_responsive(&self, most: usize) -> Vec<HostId> {
         let instances = self.instances.borrow();
-        let listed = instances.iter().filter_map(|(&id, s)| Some((id, s, s.site.as_ref()?.ready)));
+        let listed = instances.iter().filter_map(|(&id, s)| Some((id, s, s.site.as_ref()?.is_ready)));
         let mut hosts: Vec<_> = listed
             .map(|(id, s, ready)| (!ready, s.suspect, s.idle.is_empty(), Reverse(s.heard), id))
             .collect();
@@ -299,10 +299,10 @@
     }
 
     /// A connection to the host: an idle one that still stands, if one may be used, else a new one.
-    pub async fn connection(
-        &self, host: HostId, local_faults: LocalFaults, reuse: Reuse,
-    ) -> Result<Connection, NoConnection> {
-        while reuse == Reuse::Kept
+    pub async fn acquire(
+        &self, host: HostId, local_faults: LocalFaultHandling, reuse: Reuse,
+    ) -> Result<Connection, ConnectError> {
+        while reuse == Reuse::Allowed
             && let Some(mut kept) = self.take_idle(host)
         {
             // Guards against a connection that the instance has closed: the driver knows at once.
@@ -314,30 +314,30 @@
         }
         let place = {
             let instances = self.instances.borrow();
-            let instance = instances.get(&host).ok_or(NoConnection::Unreachable)?;
-            (instance.site.as_ref().ok_or(NoConnection::Unreachable)?.addr, instance.open.clone())
+            let instance = instances.get(&host).ok_or(ConnectError::Unreachable)?;
+            (instance.site.as_ref().ok_or(ConnectError::Unreachable)?.addr, instance.open.clone())
         };
         let local_fault = Cell::new(false);
-        let opened = timeout(self.limits.connect, self.open(place, local_faults, &local_fault)).await;
+        let opened = timeout(self.limits.connect_timeout, self.open(place, local_faults, &local_fault)).await;
         opened.unwrap_or(Err(if local_fault.get() {
-            NoConnection::LocalFault
+            ConnectError::LocalFault
         } else {
-            NoConnection::Unreachable
+            ConnectError::Unreachable
         }))
     }
 
     fn take_idle(&self, host: HostId) -> Option<Connection> {
         let mut instances = self.instances.borrow_mut();
         let idle = &mut instances.get_mut(&host)?.idle;
-        idle.retain(|c| c.since.elapsed() < self.limits.idle && !c.sender.is_closed());
+        idle.retain(|c| c.since.elapsed() < self.limits.max_idle_time && !c.sender.is_closed());
         let settled = idle.iter().rposition(|c| c.since.elapsed() >= SETTLED)?;
         Some(idle.remove(settled))
     }
 
     /// Connects; tries again while it is this machine that fails, and tells so in `local_fault`.
     async fn connect(
-        &self, addr: SocketAddr, local_faults: LocalFaults, local_fault: &Cell<bool>,
-    ) -> Result<TcpStream, NoConnection> {
+        &self, addr: SocketAddr, local_faults: LocalFaultHandling, local_fault: &Cell<bool>,
+    ) -> Result<TcpStream, ConnectError> {
         loop {
             #[cfg(test)]
             let injected = self.connect_faults.borrow_mut().pop_front();
@@ -349,32 +349,32 @@
             };
             match connected {
                 Ok(socket) => return Ok(socket),
-                Err(fault) if is_local(&fault) && local_faults == LocalFaults::WaitOut => {
+                Err(fault) if is_local(&fault) && local_faults == LocalFaultHandling::Retry => {
                     local_fault.set(true)
                 }
-                Err(fault) if is_local(&fault) => return Err(NoConnection::LocalFault),
-                Err(_) => return Err(NoConnection::Unreachable),
+                Err(fault) if is_local(&fault) => return Err(ConnectError::LocalFault),
+                Err(_) => return Err(ConnectError::Unreachable),
             }
             sleep(LOCAL_FAULT_PAUSE).await;
         }
     }
 
     async fn open(
-        &self, (addr, open): (SocketAddr, Rc<Cell<bool>>), local_faults: LocalFaults,
+        &self, (addr, open): (SocketAddr, Rc<Cell<bool>>), local_faults: LocalFaultHandling,
         local_fault: &Cell<bool>,
-    ) -> Result<Connection, NoConnection> {
+    ) -> Result<Connection, ConnectError> {
         let permit = self.permit().await?;
         let socket = self.connect(addr, local_faults, local_fault).await?;
         local_fault.set(false);
-        socket.set_nodelay(true).map_err(|_| NoConnection::Unreachable)?;
+        socket.set_nodelay(true).map_err(|_| ConnectError::Unreachable)?;
         let socket = CheckedSocket::new(socket, open);
         let slot = socket.request_slot();
         let made = http1::Builder::new().max_buf_size(BUFFER).handshake(TokioIo::new(socket)).await;
-        let (sender, mut connection) = made.map_err(|_| NoConnection::Unreachable)?;
+        let (sender, mut connection) = made.map_err(|_| ConnectError::Unreachable)?;
         add(&self.counters.connects);
-        let given_up: Rc<Cell<Option<EndWitness>>> = Rc::default();
+        let given_up: Rc<Cell<Option<CloseGuard>>> = Rc::default();
         let (witness, all, most) =
-            (given_up.clone(), self.given_up.clone(), self.limits.connections / GIVEN_UP_PART);
+            (given_up.clone(), self.given_up.clone(), self.limits.max_connections / GIVEN_UP_PART);
         let driver = tokio::task::spawn_local(async move {
             let _permit: OwnedSemaphorePermit = permit;
             // Its end shows at the request that used it.
@@ -391,7 +391,7 @@
     }
 
     /// Room for one more connection, made by closing the oldest idle one if need be.
-    async fn permit(&self) -> Result<OwnedSemaphorePermit, NoConnection> {
+    async fn permit(&self) -> Result<OwnedSemaphorePermit, ConnectError> {
         if let Ok(permit) = self.permits.clone().try_acquire_owned() {
             return Ok(permit);
         }
@@ -401,16 +401,16 @@
             idle.min_by_key(|s| s.idle[0].since).map(|s| s.idle.remove(0))
         };
         drop(oldest);
-        self.permits.clone().acquire_owned().await.map_err(|_| NoConnection::Unreachable)
+        self.permits.clone().acquire_owned().await.map_err(|_| ConnectError::Unreachable)
     }
 
     /// Keeps a connection on which an exchange has ended whole.
-    pub fn keep(&self, host: HostId, mut connection: Connection) {
+    pub fn put_back(&self, host: HostId, mut connection: Connection) {
         let mut instances = self.instances.borrow_mut();
         let Some(instance) = instances.get_mut(&host) else { return };
         let now = Instant::now();
         (instance.heard, instance.suspect) = (Some(now), false);
-        let ready = instance.site.as_ref().is_some_and(|site| site.ready);
+        let ready = instance.site.as_ref().is_some_and(|site| site.is_ready);
         if !connection.sender.is_closed() && ready && instance.idle.len() < IDLE_MOST {
             connection.since = now;
             instance.idle.push(connection);
@@ -425,7 +425,7 @@
     }
 
     /// Forgets when the host was last heard: something there went silent, and its idle connections may be dead.
-    pub fn distrust(&self, host: HostId) {
+    pub fn mark_unresponsive(&self, host: HostId) {
         if let Some(instance) = self.instances.borrow_mut().get_mut(&host) {
             instance.idle.clear();
             instance.heard = None;
@@ -433,7 +433,7 @@
     }
 
     /// A call to the host goes unanswered: others are likelier to answer until it is heard.
-    pub fn suspect(&self, host: HostId) {
+    pub fn mark_suspect(&self, host: HostId) {
         if let Some(instance) = self.instances.borrow_mut().get_mut(&host) {
             instance.suspect = true;
         }
@@ -441,20 +441,22 @@
 
     /// Something at the host has been silent since then. Unless another exchange was heard meanwhile, its idle
     /// connections may be as dead.
-    pub fn silent_since(&self, host: HostId, since: Instant) {
+    pub fn report_silence_since(&self, host: HostId, since: Instant) {
         let heard = self.instances.borrow().get(&host).and_then(|s| s.heard);
         if heard.is_none_or(|at| at < since) {
-            self.distrust(host);
+            self.mark_unresponsive(host);
         }
     }
 
     /// Closes what has stood idle too long, for ever.
-    pub async fn tidy(&self) {
+    pub async fn run_eviction(&self) {
         loop {
-            tokio::time::sleep(self.limits.idle / 8).await;
+            tokio::time::sleep(self.limits.max_idle_time / 8).await;
             self.trim();
             for instance in self.instances.borrow_mut().values_mut() {
-                instance.idle.retain(|c| c.since.elapsed() < self.limits.idle && !c.sender.is_closed());
+                instance
+                    .idle
+                    .retain(|c| c.since.elapsed() < self.limits.max_idle_time && !c.sender.is_closed());
             }
         }
     }
--- a/src/node/upstream/pool/tests.rs
+++ b/src/node/upstream/pool/tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::api::Outcome;
-use crate::node::upstream::attempt::{Dialect, Upstream};
+use crate::node::upstream::attempt::{Protocol, Upstream};
 
 const HOST: HostId = HostId(1);
 /// What a call to connect may fail with for want of something that this machine lacks for a moment.
@@ -34,10 +34,13 @@
             taken.push(connection);
         }
     });
-    let limits =
-        PoolLimits { connect: Duration::from_millis(250), idle: Duration::from_secs(1), connections: 8 };
+    let limits = PoolLimits {
+        connect_timeout: Duration::from_millis(250),
+        max_idle_time: Duration::from_secs(1),
+        max_connections: 8,
+    };
     let pool = Pool::new(limits, Rc::default());
-    pool.place(HOST, Some(Site { name: "r1".into(), addr, role: Role::Read, ready: true }));
+    pool.set_endpoint(HOST, Some(Endpoint { name: "r1".into(), addr, role: Role::Read, is_ready: true }));
     pool
 }
 
@@ -47,7 +50,7 @@
         for errno in LOCAL {
             let pool = pool().await;
             pool.connect_faults.borrow_mut().extend(faults(errno, 5));
-            let connected = pool.connection(HOST, LocalFaults::WaitOut, Reuse::Kept).await;
+            let connected = pool.acquire(HOST, LocalFaultHandling::Retry, Reuse::Allowed).await;
             assert!(connected.is_ok(), "{errno:?}");
             assert_eq!(pool.permits.available_permits(), 7, "one connection is counted");
         }
@@ -61,13 +64,13 @@
         let pool = pool().await;
         pool.connect_faults.borrow_mut().extend(faults(Errno::MFILE, 1_000));
         let begun = Instant::now();
-        let connected = pool.connection(HOST, LocalFaults::WaitOut, Reuse::Kept).await.map(drop);
-        assert_eq!(connected, Err(NoConnection::LocalFault));
-        assert_eq!(begun.elapsed(), pool.limits.connect);
+        let connected = pool.acquire(HOST, LocalFaultHandling::Retry, Reuse::Allowed).await.map(drop);
+        assert_eq!(connected, Err(ConnectError::LocalFault));
+        assert_eq!(begun.elapsed(), pool.limits.connect_timeout);
         let tries = 1_000 - pool.connect_faults.borrow().len();
         assert!((10..=30).contains(&tries), "{tries} tries");
-        let told = pool.connection(HOST, LocalFaults::Tell, Reuse::Kept).await.map(drop);
-        assert_eq!((told, begun.elapsed()), (Err(NoConnection::LocalFault), pool.limits.connect));
+        let told = pool.acquire(HOST, LocalFaultHandling::Fail, Reuse::Allowed).await.map(drop);
+        assert_eq!((told, begun.elapsed()), (Err(ConnectError::LocalFault), pool.limits.connect_timeout));
         assert_eq!(pool.permits.available_permits(), 8);
     };
     LocalSet::new().run_until(test).await;
@@ -79,9 +82,12 @@
         for errno in REMOTE {
             let pool = pool().await;
             pool.connect_faults.borrow_mut().extend(faults(errno, 1));
-            let connected = pool.connection(HOST, LocalFaults::WaitOut, Reuse::Kept).await.map(drop);
-            assert_eq!(connected, Err(NoConnection::Unreachable), "{errno:?}");
-            assert!(pool.connection(HOST, LocalFaults::WaitOut, Reuse::Kept).await.is_ok(), "the next try");
+            let connected = pool.acquire(HOST, LocalFaultHandling::Retry, Reuse::Allowed).await.map(drop);
+            assert_eq!(connected, Err(ConnectError::Unreachable), "{errno:?}");
+            assert!(
+                pool.acquire(HOST, LocalFaultHandling::Retry, Reuse::Allowed).await.is_ok(),
+                "the next try"
+            );
         }
     };
     LocalSet::new().run_until(test).await;
@@ -93,7 +99,8 @@
     let test = async {
         let pool = Rc::new(pool().await);
         pool.connect_faults.borrow_mut().extend(faults(Errno::ADDRNOTAVAIL, 1));
-        let upstream = Upstream::new(pool.clone(), Dialect::Platform { pin_limit: 1_000_000 }, Rc::default());
+        let upstream =
+            Upstream::new(pool.clone(), Protocol::Platform { pin_limit: 1_000_000 }, Rc::default());
         assert_eq!(upstream.probe(HOST).await.0, Outcome::Full);
         pool.connect_faults.borrow_mut().extend(faults(Errno::CONNREFUSED, 1));
         assert_eq!(upstream.probe(HOST).await.0, Outcome::Unreachable);
@@ -109,12 +116,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
         let addr = listener.local_addr().expect("an address");
         let pool = pool().await;
-        pool.place(HOST, Some(Site { name: "r1".into(), addr, role: Role::Read, ready: true }));
+        pool.set_endpoint(HOST, Some(Endpoint { name: "r1".into(), addr, role: Role::Read, is_ready: true }));
         let (witness, mut known) = oneshot::channel();
         let mut connection =
-            pool.connection(HOST, LocalFaults::Tell, Reuse::New).await.expect("a connection");
+            pool.acquire(HOST, LocalFaultHandling::Fail, Reuse::Never).await.expect("a connection");
         let (mut server, _) = listener.accept().await.expect("a connection");
-        let (body, _) = connection.body(Bytes::from_static(b"{}"), SendCheck::Passed);
+        let (body, _) = connection.request_body(Bytes::from_static(b"{}"), SendCheck::Unchecked);
         connection.witness = Some(witness);
         let sending = async {
             let request = hyper::Request::post("/").body(body).expect("a request");
--- a/src/node/upstream/relay.rs
+++ b/src/node/upstream/relay.rs
@@ -2,44 +2,44 @@
 
 use tokio::sync::mpsc;
 
-use super::events::{Events, Piece, StreamBroken};
+use super::events::{EventStream, StreamChunk, StreamError};
 
 /// Pieces of a stream that wait for a slow reader; past them the instance's connection is read no further.
-pub const WAITING: usize = 4;
+pub const MAX_WAITING_CHUNKS: usize = 4;
 
 /// How passing on ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Passed {
+pub enum RelayEnd {
     /// The whole stream.
-    Whole,
+    Complete,
     /// It broke.
-    Broken(StreamBroken),
+    Broken(StreamError),
     /// It told an error of its own as an event, and that is all.
-    Failed,
+    ErrorEvent,
     /// The client went away.
     ClientLeft,
 }
 
 /// Passes events on until the stream ends either way.
-pub async fn pass(events: &mut Events, client: &mpsc::Sender<Piece>) -> Passed {
+pub async fn forward_events(events: &mut EventStream, client: &mpsc::Sender<StreamChunk>) -> RelayEnd {
     loop {
         let piece = tokio::select! {
-            () = client.closed() => return Passed::ClientLeft,
+            () = client.closed() => return RelayEnd::ClientLeft,
             piece = events.next() => piece,
         };
         match piece {
             Some(Ok(bytes)) => {
                 if client.send(Ok(bytes)).await.is_err() {
-                    return Passed::ClientLeft;
+                    return RelayEnd::ClientLeft;
                 }
             }
             Some(Err(broken)) => {
                 // A full channel means a slow reader: the break waits its turn, the client's leaving does not.
                 let told = client.send(Err(broken)).await;
-                return if told.is_ok() { Passed::Broken(broken) } else { Passed::ClientLeft };
+                return if told.is_ok() { RelayEnd::Broken(broken) } else { RelayEnd::ClientLeft };
             }
-            None if events.told_error() => return Passed::Failed,
-            None => return Passed::Whole,
+            None if events.has_error() => return RelayEnd::ErrorEvent,
+            None => return RelayEnd::Complete,
         }
     }
 }
--- a/src/node/upstream/release.rs
+++ b/src/node/upstream/release.rs
@@ -66,7 +66,7 @@
 
 impl Candidates {
     fn next(&mut self) -> Option<HostId> {
-        let likeliest = self.upstream.pool().likeliest(self.asked.len() + 1);
+        let likeliest = self.upstream.pool().most_responsive(self.asked.len() + 1);
         let next = likeliest.iter().copied().find(|host| !self.asked.contains(host));
         let next = next.or_else(|| {
             self.asked.clear();
@@ -80,10 +80,10 @@
 /// When a call was sent, if its instance confirmed it.
 async fn call(upstream: Rc<Upstream>, host: HostId, id: Rc<str>, reuse: Reuse) -> Option<Instant> {
     let sent = Instant::now();
-    match timeout(CALL_MOST, upstream.release_at(host, &id, reuse)).await {
+    match timeout(CALL_MOST, upstream.send_release(host, &id, reuse)).await {
         Ok(true) => return Some(sent),
-        Ok(false) => upstream.pool().distrust(host),
-        Err(_) => upstream.pool().silent_since(host, sent),
+        Ok(false) => upstream.pool().mark_unresponsive(host),
+        Err(_) => upstream.pool().report_silence_since(host, sent),
     }
     None
 }
@@ -100,7 +100,7 @@
         let asked = candidates.next();
         if let Some(host) = asked {
             add(&upstream.counters().release_calls);
-            let reuse = if tries < ON_KEPT { Reuse::Kept } else { Reuse::New };
+            let reuse = if tries < ON_KEPT { Reuse::Allowed } else { Reuse::Never };
             calls.spawn_local(call(upstream.clone(), host, id.clone(), reuse));
         }
         tries += 1;
@@ -111,7 +111,7 @@
             return Some(sent);
         }
         // Until it is heard, others are asked before it.
-        asked.inspect(|&host| upstream.pool().suspect(host));
+        asked.inspect(|&host| upstream.pool().mark_suspect(host));
     }
     add(&upstream.counters().releases_lost);
     let took_ms = begun.elapsed().as_millis() as u64;
--- a/src/node/upstream/release/tests.rs
+++ b/src/node/upstream/release/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::api::Role;
-use crate::node::upstream::attempt::Dialect;
-use crate::node::upstream::pool::{Pool, PoolLimits, Site};
+use crate::node::upstream::attempt::Protocol;
+use crate::node::upstream::pool::{Endpoint, Pool, PoolLimits};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
@@ -10,7 +10,10 @@
 async fn instance(pool: &Pool, host: u32, answers: bool, calls: Rc<std::cell::Cell<usize>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
     let addr = listener.local_addr().expect("an address");
-    pool.place(HostId(host), Some(Site { name: "r1".into(), addr, role: Role::Read, ready: true }));
+    pool.set_endpoint(
+        HostId(host),
+        Some(Endpoint { name: "r1".into(), addr, role: Role::Read, is_ready: true }),
+    );
     tokio::task::spawn_local(async move {
         let mut open = Vec::new();
         while let Ok((mut socket, _)) = listener.accept().await {
@@ -30,8 +33,11 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let counters: Rc<Counters> = Rc::default();
-        let limits =
-            PoolLimits { connect: Duration::from_millis(250), idle: Duration::from_secs(2), connections: 64 };
+        let limits = PoolLimits {
+            connect_timeout: Duration::from_millis(250),
+            max_idle_time: Duration::from_secs(2),
+            max_connections: 64,
+        };
         let pool = Rc::new(Pool::new(limits, counters.clone()));
         let calls: Rc<std::cell::Cell<usize>> = Rc::default();
         for host in 0..silent {
@@ -40,7 +46,7 @@
         for host in silent..silent + answering {
             instance(&pool, host, true, calls.clone()).await;
         }
-        let upstream = Rc::new(Upstream::new(pool, Dialect::Platform { pin_limit: 1_000_000 }, counters));
+        let upstream = Rc::new(Upstream::new(pool, Protocol::Platform { pin_limit: 1_000_000 }, counters));
         check(upstream, calls).await;
     });
 }
--- a/src/node/upstream/socket.rs
+++ b/src/node/upstream/socket.rs
@@ -27,12 +27,12 @@
     /// The buffer with the last byte was flushed to the socket.
     Yes,
     /// The look before the first byte stopped it.
-    Stopped(HeldBack),
+    Stopped(NotSentReason),
 }
 
 /// Why a request that had been decided on did not begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum HeldBack {
+pub enum NotSentReason {
     /// Its instance drains or is gone.
     #[error("it drains or is gone since it was chosen")]
     Drains,
@@ -46,27 +46,27 @@
 
 /// Tells whether a request's last byte has been written to the socket.
 #[derive(Clone, Default)]
-pub struct WriteMark(Rc<Cell<Written>>);
+pub struct WriteStatus(Rc<Cell<Written>>);
 
-impl WriteMark {
+impl WriteStatus {
     /// Whether the last byte was written.
-    pub fn written(&self) -> bool {
+    pub fn is_written(&self) -> bool {
         self.0.get() == Written::Yes
     }
 
     /// Why not a byte of it was written, where the look before the first one stopped it.
-    pub fn held_back(&self) -> Option<HeldBack> {
+    pub fn held_back(&self) -> Option<NotSentReason> {
         if let Written::Stopped(why) = self.0.get() { Some(why) } else { None }
     }
 }
 
 /// A request body in one piece that marks when it has been handed over.
-pub struct Outgoing {
+pub struct RequestBody {
     data: Option<Bytes>,
-    mark: WriteMark,
+    mark: WriteStatus,
 }
 
-impl Body for Outgoing {
+impl Body for RequestBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -100,14 +100,14 @@
     Probe,
     /// Nothing: the request has begun, or it lets go of what is held, which any instance takes.
     #[default]
-    Passed,
+    Unchecked,
 }
 
 /// The socket. An attempt whose last byte was never written is known never to have run: hyper flushes the socket only once
 /// its own buffer is empty.
 pub struct CheckedSocket {
     socket: Uninterrupted<TcpStream>,
-    mark: WriteMark,
+    mark: WriteStatus,
     check: Rc<RefCell<SendCheck>>,
     takes_new_work: Rc<Cell<bool>>,
 }
@@ -117,7 +117,7 @@
     pub fn new(socket: TcpStream, takes_new_work: Rc<Cell<bool>>) -> Self {
         CheckedSocket {
             socket: Uninterrupted(socket),
-            mark: WriteMark::default(),
+            mark: WriteStatus::default(),
             check: Rc::default(),
             takes_new_work,
         }
@@ -130,10 +130,10 @@
 
     fn pass(&self) -> io::Result<()> {
         let why = match self.check.take() {
-            SendCheck::Passed => return Ok(()),
-            _ if !self.takes_new_work.get() => HeldBack::Drains,
-            SendCheck::Attempt { wanted, .. } if !wanted.holds() => HeldBack::ClientGone,
-            SendCheck::Attempt { until, .. } if Instant::now() >= until => HeldBack::TooLate,
+            SendCheck::Unchecked => return Ok(()),
+            _ if !self.takes_new_work.get() => NotSentReason::Drains,
+            SendCheck::Attempt { wanted, .. } if !wanted.holds() => NotSentReason::ClientGone,
+            SendCheck::Attempt { until, .. } if Instant::now() >= until => NotSentReason::TooLate,
             SendCheck::Attempt { .. } | SendCheck::Probe => return Ok(()),
         };
         self.mark.0.set(Written::Stopped(why));
@@ -143,16 +143,19 @@
 
 /// A connection's way to check and mark its next request.
 pub struct RequestSlot {
-    mark: WriteMark,
+    mark: WriteStatus,
     check: Rc<RefCell<SendCheck>>,
 }
 
 impl RequestSlot {
     /// A body for the next request, and the mark that tells when it is written.
-    pub fn body(&self, data: Bytes, check: SendCheck) -> (Outgoing, WriteMark) {
+    pub fn request_body(&self, data: Bytes, check: SendCheck) -> (RequestBody, WriteStatus) {
         self.mark.0.set(Written::No);
         self.check.replace(check);
-        (Outgoing { data: Some(data).filter(|d| !d.is_empty()), mark: self.mark.clone() }, self.mark.clone())
+        (
+            RequestBody { data: Some(data).filter(|d| !d.is_empty()), mark: self.mark.clone() },
+            self.mark.clone(),
+        )
     }
 }
 
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -20,8 +20,8 @@
 use croftsill::node::process::schedule::GracePeriod;
 use croftsill::node::process::shutdown::Shutdown;
 use croftsill::node::request::{Answer, Caller, live};
-use croftsill::node::upstream::attempt::{Dialect, First, Payload, Upstream};
-use croftsill::node::upstream::pool::{Pool, PoolLimits, Reuse, Site};
+use croftsill::node::upstream::attempt::{InitialResult, Payload, Protocol, Upstream};
+use croftsill::node::upstream::pool::{Endpoint, Pool, PoolLimits, Reuse};
 use croftsill::node::{Clock, Core};
 use croftsill::wire::settings_from;
 use http_body_util::{Either, Full};
@@ -117,15 +117,19 @@
 }
 
 fn limits() -> PoolLimits {
-    PoolLimits { connect: Duration::from_secs(1), idle: Duration::from_secs(2), connections: 8 }
+    PoolLimits {
+        connect_timeout: Duration::from_secs(1),
+        max_idle_time: Duration::from_secs(2),
+        max_connections: 8,
+    }
 }
 
 async fn upstream_to(instance: &Instance) -> Rc<Upstream> {
     let addr = instance.listen().await;
     let counters = Rc::new(Counters::default());
     let pool = Rc::new(Pool::new(limits(), counters.clone()));
-    pool.place(HOST, Some(Site { name: "r1".into(), addr, role: Role::Read, ready: true }));
-    Rc::new(Upstream::new(pool, Dialect::Platform { pin_limit: 1_000_000 }, counters))
+    pool.set_endpoint(HOST, Some(Endpoint { name: "r1".into(), addr, role: Role::Read, is_ready: true }));
+    Rc::new(Upstream::new(pool, Protocol::Platform { pin_limit: 1_000_000 }, counters))
 }
 
 fn payload() -> Payload {
@@ -150,13 +154,13 @@
         assert_eq!(upstream.probe(HOST).await.0, Outcome::Served, "a probe");
         sleep(SETTLED).await;
         instance.close_all_in_this_moment().await;
-        assert!(upstream.release_at(HOST, "0a", Reuse::Kept).await, "a release");
+        assert!(upstream.send_release(HOST, "0a", Reuse::Allowed).await, "a release");
         sleep(SETTLED).await;
         instance.close_all_in_this_moment().await;
         let (caller, _answer) = Caller::new("0a".into());
         let until = Instant::now() + Duration::from_secs(3);
-        let (first, _) = upstream.first(HOST, &payload(), until, (caller.wanted(), None)).await;
-        assert!(matches!(first, First::Read(_)), "a request");
+        let (first, _) = upstream.start_attempt(HOST, &payload(), until, (caller.wanted(), None)).await;
+        assert!(matches!(first, InitialResult::PromptRead(_)), "a request");
         let heads = instance.heads.borrow();
         let methods: Vec<_> = heads.iter().filter_map(|head| head.split(' ').next()).collect();
         assert_eq!(methods, ["GET", "GET", "DELETE", "POST"], "each came once");
@@ -174,8 +178,8 @@
         sleep(SETTLED).await;
         let (caller, _answer) = Caller::new("0a".into());
         let over = Instant::now() - Duration::from_millis(1);
-        let (first, _) = upstream.first(HOST, &payload(), over, (caller.wanted(), None)).await;
-        assert!(matches!(first, First::Ended(Outcome::Moot)));
+        let (first, _) = upstream.start_attempt(HOST, &payload(), over, (caller.wanted(), None)).await;
+        assert!(matches!(first, InitialResult::Ended(Outcome::Moot)));
         sleep(SETTLED).await;
         assert_eq!(instance.heads.borrow().len(), 1, "the probe alone");
     });
@@ -189,12 +193,12 @@
         let counters = Rc::new(Counters::default());
         let pool = Rc::new(Pool::new(limits(), counters.clone()));
         let addr = listener.local_addr().expect("an address");
-        pool.place(HOST, Some(Site { name: "r1".into(), addr, role: Role::Read, ready: true }));
-        let upstream = Rc::new(Upstream::new(pool, Dialect::Platform { pin_limit: 1_000_000 }, counters));
+        pool.set_endpoint(HOST, Some(Endpoint { name: "r1".into(), addr, role: Role::Read, is_ready: true }));
+        let upstream = Rc::new(Upstream::new(pool, Protocol::Platform { pin_limit: 1_000_000 }, counters));
         let within = Duration::from_millis(500);
         let attempt = spawn_local(async move {
             let (caller, _answer) = Caller::new("0a".into());
-            upstream.first(HOST, &payload(), Instant::now() + within, (caller.wanted(), None)).await.0
+            upstream.start_attempt(HOST, &payload(), Instant::now() + within, (caller.wanted(), None)).await.0
         });
         let (mut socket, _) = listener.accept().await.expect("a connection");
         let mut request = Vec::new();
@@ -204,7 +208,7 @@
         let answer = b"HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}";
         socket.try_write(answer).expect("room for a short answer");
         advance(within * 2).await;
-        assert!(matches!(attempt.await.expect("it ends"), First::Read(_)));
+        assert!(matches!(attempt.await.expect("it ends"), InitialResult::PromptRead(_)));
     });
 }
 
@@ -222,7 +226,7 @@
             Planner::start(settings, 1, clock, None)
         };
         let upstream =
-            Rc::new(Upstream::new(pool, Dialect::Platform { pin_limit: 1_000_000 }, counters.clone()));
+            Rc::new(Upstream::new(pool, Protocol::Platform { pin_limit: 1_000_000 }, counters.clone()));
         let core = Core { planner, upstream, counters: counters.clone(), policy_gate: PolicyGate::open() };
         let (caller, answer) = Caller::new("0a".into());
         let ask = NewRequest {
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -20,8 +20,8 @@
 use croftsill::node::process::shutdown::Shutdown;
 use croftsill::node::process::start::{Given, become_ready};
 use croftsill::node::request::Caller;
-use croftsill::node::upstream::attempt::{Dialect, First, Payload, Upstream};
-use croftsill::node::upstream::pool::{LocalFaults, Pool, PoolLimits, Reuse, Site};
+use croftsill::node::upstream::attempt::{InitialResult, Payload, Protocol, Upstream};
+use croftsill::node::upstream::pool::{Endpoint, LocalFaultHandling, Pool, PoolLimits, Reuse};
 use croftsill::node::upstream::socket::SendCheck;
 use croftsill::node::{Clock, Core};
 use croftsill::wire::{Names, settings_from};
@@ -201,7 +201,7 @@
     fn sending(&self) -> usize {
         let ready = |fleet: &&Rc<Fleet>| {
             let host = fleet.known("r1").expect("it is listed");
-            fleet.core().upstream.pool().site(host).is_some_and(|site| site.ready)
+            fleet.core().upstream.pool().endpoint(host).is_some_and(|site| site.is_ready)
         };
         self.fleets.iter().filter(ready).count()
     }
@@ -227,10 +227,15 @@
 
 fn core(settings: &Settings, seed: u64, connections: usize) -> (Core, Clock) {
     let (counters, clock) = (Rc::new(Counters::default()), Clock::start());
-    let limits = PoolLimits { connect: Duration::from_secs(1), idle: Duration::from_secs(2), connections };
+    let limits = PoolLimits {
+        connect_timeout: Duration::from_secs(1),
+        max_idle_time: Duration::from_secs(2),
+        max_connections: connections,
+    };
     let (planner, _orders) = Planner::start(settings.clone(), seed, clock, None);
     let pool = Rc::new(Pool::new(limits, counters.clone()));
-    let upstream = Rc::new(Upstream::new(pool, Dialect::Platform { pin_limit: 1_000_000 }, counters.clone()));
+    let upstream =
+        Rc::new(Upstream::new(pool, Protocol::Platform { pin_limit: 1_000_000 }, counters.clone()));
     (Core { planner, upstream, counters, policy_gate: PolicyGate::open() }, clock)
 }
 
@@ -489,40 +494,40 @@
             let (addr, begun) = mute().await;
             let (core, _) = core(&settings, 1, 1);
             let (upstream, host) = (core.upstream, HostId(1));
-            let site = |ready| Some(Site { name: "r1".into(), addr, role, ready });
+            let site = |ready| Some(Endpoint { name: "r1".into(), addr, role, is_ready: ready });
             let payload = payload();
             let send = || {
                 let (upstream, payload) = (upstream.clone(), payload.clone());
                 let until = Instant::now() + Duration::from_secs(3);
                 spawn_local(async move {
                     let (caller, _answer) = Caller::new(payload.id.clone());
-                    upstream.first(host, &payload, until, (caller.wanted(), None)).await.0
+                    upstream.start_attempt(host, &payload, until, (caller.wanted(), None)).await.0
                 })
             };
-            upstream.pool().place(host, site(true));
+            upstream.pool().set_endpoint(host, site(true));
             // One has the only connection; the next one waits for it.
             let first = send();
             sleep(Duration::from_millis(100)).await;
             let waiting = send();
             sleep(Duration::from_millis(100)).await;
-            upstream.pool().place(host, site(false).filter(|_| !gone));
+            upstream.pool().set_endpoint(host, site(false).filter(|_| !gone));
             first.abort();
             let ended = waiting.await.expect("it ends");
-            assert!(matches!(ended, First::Ended(Outcome::Unreachable)), "told as not sent");
+            assert!(matches!(ended, InitialResult::Ended(Outcome::Unreachable)), "told as not sent");
             assert_eq!(upstream.probe(host).await.0, Outcome::Unreachable);
             sleep(Duration::from_millis(100)).await;
             assert_eq!(begun.get(), 1, "only what had begun before");
             // A connection that stands already, with the drain told in the very moment of sending.
-            upstream.pool().place(host, site(true));
+            upstream.pool().set_endpoint(host, site(true));
             let mut ready = upstream
                 .pool()
-                .connection(host, LocalFaults::WaitOut, Reuse::Kept)
+                .acquire(host, LocalFaultHandling::Retry, Reuse::Allowed)
                 .await
                 .expect("a connection");
-            upstream.pool().place(host, site(false).filter(|_| !gone));
-            let (body, mark) = ready.body(Bytes::from_static(b"{}"), SendCheck::Probe);
+            upstream.pool().set_endpoint(host, site(false).filter(|_| !gone));
+            let (body, mark) = ready.request_body(Bytes::from_static(b"{}"), SendCheck::Probe);
             let request = hyper::Request::post("/").body(body).expect("a request");
-            assert!(ready.sender().send_request(request).await.is_err() && !mark.written());
+            assert!(ready.sender().send_request(request).await.is_err() && !mark.is_written());
             sleep(Duration::from_millis(100)).await;
             assert_eq!(begun.get(), 1, "not a byte");
         }
@@ -539,14 +544,16 @@
             let (addr, begun) = mute().await;
             let (core, _) = core(&settings, 1, 1);
             let (upstream, host) = (core.upstream, HostId(1));
-            upstream.pool().place(host, Some(Site { name: "r1".into(), addr, role, ready: true }));
+            upstream
+                .pool()
+                .set_endpoint(host, Some(Endpoint { name: "r1".into(), addr, role, is_ready: true }));
             let payload = payload();
             let send = || {
                 let (caller, answer) = Caller::new(payload.id.clone());
                 let (upstream, payload) = (upstream.clone(), payload.clone());
                 let until = Instant::now() + Duration::from_secs(3);
                 let attempt = spawn_local(async move {
-                    upstream.first(host, &payload, until, (caller.wanted(), None)).await.0
+                    upstream.start_attempt(host, &payload, until, (caller.wanted(), None)).await.0
                 });
                 (attempt, answer)
             };
@@ -558,11 +565,11 @@
             drop(answer);
             first.abort();
             let ended = waiting.await.expect("it ends");
-            assert!(matches!(ended, First::Ended(Outcome::Moot)), "told as never sent");
+            assert!(matches!(ended, InitialResult::Ended(Outcome::Moot)), "told as never sent");
             // Its client has left before its connection comes up.
             let (late, answer) = send();
             drop(answer);
-            assert!(matches!(late.await.expect("it ends"), First::Ended(Outcome::Moot)));
+            assert!(matches!(late.await.expect("it ends"), InitialResult::Ended(Outcome::Moot)));
             sleep(Duration::from_millis(100)).await;
             assert_eq!(begun.get(), 1, "only what had begun before");
             // While its client waits the same attempt begins.
