--- a/src/replica/share.rs
+++ b/src/replica/share.rs
@@ -301,10 +301,17 @@
                     );
                 }
             }
-            PeerMessage::State(say) => {
-                let (replies, news) =
-                    self.sync.handle_message(now, &mut self.replica, from, agreed.members.len(), say);
-                self.outgoing.extend(replies.into_iter().map(|(to, say)| (to, PeerMessage::State(say))));
+            PeerMessage::State(sync_message) => {
+                let (replies, news) = self.sync.handle_message(
+                    now,
+                    &mut self.replica,
+                    from,
+                    agreed.members.len(),
+                    sync_message,
+                );
+                self.outgoing.extend(
+                    replies.into_iter().map(|(to, sync_message)| (to, PeerMessage::State(sync_message))),
+                );
                 self.handle_merged_items(now, news);
             }
             PeerMessage::DutyAsk(request) => {
@@ -334,8 +341,8 @@
 
     /// Compares replicas with a conductor whose link has just been established, without waiting for its turn.
     pub fn compare_with(&mut self, peer: &str) {
-        let say = self.sync.root_message(&self.replica, peer);
-        self.outgoing.push((peer.to_owned(), PeerMessage::State(say)));
+        let sync_message = self.sync.root_message(&self.replica, peer);
+        self.outgoing.push((peer.to_owned(), PeerMessage::State(sync_message)));
     }
 
     fn handle_lease_request(
@@ -470,14 +477,14 @@
             self.saves_immediately = true;
         }
         let sync_messages = self.sync.tick(now, &mut self.replica, reachable_peers);
-        for (to, say) in sync_messages {
-            if matches!(say, SyncMessage::Root(..)) && self.policy_version.0 > 0 {
+        for (to, sync_message) in sync_messages {
+            if matches!(sync_message, SyncMessage::Root(..)) && self.policy_version.0 > 0 {
                 self.outgoing.push((
                     to.clone(),
                     PeerMessage::State(SyncMessage::Policy(self.policy_version.0, self.policy_version.1)),
                 ));
             }
-            self.outgoing.push((to, PeerMessage::State(say)));
+            self.outgoing.push((to, PeerMessage::State(sync_message)));
         }
         if let Some(is_caught_up) = self.sync.caught_up().filter(|_| !self.is_caught_up_reported) {
             self.is_caught_up_reported = true;
