--- a/src/node/upstream/events.rs
+++ b/src/node/upstream/events.rs
@@ -1,4 +1,5 @@
-//! A running answer, passed on in whole events: what an instance spoils is told from what it means.
+//! Reads the answer of an instance as a stream of whole events. Distinguishes an answer that is malformed or
+//! cut off from an error that the instance reports as an event.
 
 use std::error::Error;
 use std::io;
@@ -16,77 +17,93 @@
 use super::pool::{Connection, Pool};
 use crate::api::{HostId, Outcome};
 
-/// The stream ended before it was whole; the client's connection must show it.
+/// Why a stream ended before it was complete. The client's connection has to be cut off as well, so that the
+/// client notices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
-    /// It was cut off, or went silent.
+    /// The connection closed or fell silent.
     #[error("the stream was cut off")]
     Cut,
-    /// It went on with what is no event stream.
-    #[error("the stream was spoilt")]
+    /// The bytes are not a valid event stream.
+    #[error("the stream is not a valid event stream")]
     Malformed,
 }
 
-/// A piece of a stream, or that it broke.
+/// Part of a stream in whole events, or the error that ended the stream.
 pub type StreamChunk = Result<Bytes, StreamError>;
 
-/// Time without an event after which a running stream is taken for dead. Clients are not to wait 5 s for nothing.
-const SILENCE: Duration = Duration::from_millis(4_300);
-/// A timer that fires so late slept through its time.
-const OVERSLEPT: Duration = Duration::from_millis(200);
-/// Longest event; one that does not end is not an event.
-const EVENT_MOST: usize = 64 * 1024;
+/// Time without an event after which a running stream counts as dead. It stays below 5 s, because clients
+/// must not wait that long for nothing.
+const MAX_SILENCE: Duration = Duration::from_millis(4_300);
+/// Delay of a timer beyond which this process must have been suspended.
+const MAX_TIMER_DELAY: Duration = Duration::from_millis(200);
+/// Largest event; longer data without an end is not an event.
+const MAX_EVENT_BYTES: usize = 64 * 1024;
 
-/// What an instance says that its answer is; the core carries it to the front.
+/// Status and content type of an instance's answer, which the front passes on to the client.
 #[derive(Clone, Debug)]
 pub struct AnswerHead {
-    /// The status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The type of content.
+    /// Value of the `Content-Type` header.
     pub content_type: Option<HeaderValue>,
 }
 
 impl AnswerHead {
-    /// Whether it comes as a stream of events.
+    /// Returns whether the answer is a stream of events.
     pub fn is_event_stream(&self) -> bool {
-        self.content_type.as_ref().is_some_and(|v| v.as_bytes().starts_with(b"text/event-stream"))
+        self.content_type.as_ref().is_some_and(|value| value.as_bytes().starts_with(b"text/event-stream"))
     }
 }
 
-/// A running answer.
+/// Answer of an instance while it is being received.
 pub struct EventStream {
     pool: Rc<Pool>,
     host: HostId,
     connection: Option<Connection>,
     body: Incoming,
-    form: AnswerHead,
-    ready: Option<Bytes>,
+    head: AnswerHead,
+    /// Events that were received by [`EventStream::wait_for_first`] and not yet returned.
+    first_events: Option<Bytes>,
     framer: Option<Framer>,
-    heard: Instant,
-    ended: bool,
+    /// When the latest events arrived.
+    last_event_at: Instant,
+    has_ended: bool,
 }
 
 impl EventStream {
-    /// An answer whose head has come. `chat` says that its events name their end and their errors.
+    /// Creates the stream of an answer whose head has arrived. `is_chat` says that the events follow the chat
+    /// protocol, in which an event marks the end of the stream or reports an error.
     pub fn new(
         (pool, host, connection): (Rc<Pool>, HostId, Connection), body: Incoming,
-        (status, head): (StatusCode, HeaderMap), chat: bool,
+        (status, headers): (StatusCode, HeaderMap), is_chat: bool,
     ) -> Self {
-        let form = AnswerHead { status, content_type: head.get(CONTENT_TYPE).cloned() };
-        let framer = form.is_event_stream().then(|| Framer { chat, ..Framer::default() });
-        let (heard, connection) = (Instant::now(), Some(connection));
-        EventStream { pool, host, connection, body, form, ready: None, framer, heard, ended: false }
+        let head = AnswerHead { status, content_type: headers.get(CONTENT_TYPE).cloned() };
+        let framer = head.is_event_stream().then(|| Framer { is_chat, ..Framer::default() });
+        let (last_event_at, connection) = (Instant::now(), Some(connection));
+        EventStream {
+            pool,
+            host,
+            connection,
+            body,
+            head,
+            first_events: None,
+            framer,
+            last_event_at,
+            has_ended: false,
+        }
     }
 
-    /// Waits for the first event. An answer that breaks, ends, is spoilt or tells an error before it has not begun.
-    pub async fn open(&mut self) -> Result<(), Outcome> {
+    /// Waits for the first event. Fails if the answer breaks, ends, is malformed or reports an error before
+    /// it; nothing of it may be forwarded then.
+    pub async fn wait_for_first(&mut self) -> Result<(), Outcome> {
         let first = self.read().await;
         if self.has_error() {
             return Err(Outcome::Error);
         }
         match first {
             Some(Ok(bytes)) => {
-                self.ready = Some(bytes);
+                self.first_events = Some(bytes);
                 Ok(())
             }
             Some(Err(StreamError::Malformed)) => Err(Outcome::Spoilt),
@@ -94,19 +111,19 @@
         }
     }
 
-    /// What the answer says it is.
+    /// Returns status and content type of the answer.
     pub fn head(&self) -> &AnswerHead {
-        &self.form
+        &self.head
     }
 
-    /// Whether an event told an error.
+    /// Returns whether an event has reported an error.
     pub fn has_error(&self) -> bool {
-        self.framer.as_ref().is_some_and(|f| f.error)
+        self.framer.as_ref().is_some_and(|framer| framer.has_error)
     }
 
-    /// The next whole events as they came; none after the end of a whole stream.
+    /// Returns the next whole events, byte for byte, or `None` after the end of a complete stream.
     pub async fn next(&mut self) -> Option<Result<Bytes, StreamError>> {
-        match self.ready.take() {
+        match self.first_events.take() {
             Some(bytes) => Some(Ok(bytes)),
             None => self.read().await,
         }
@@ -114,46 +131,49 @@
 
     async fn read(&mut self) -> Option<Result<Bytes, StreamError>> {
         loop {
-            if self.ended {
+            if self.has_ended {
                 return None;
             }
-            match timeout_at(self.heard + SILENCE, self.body.frame()).await {
+            match timeout_at(self.last_event_at + MAX_SILENCE, self.body.frame()).await {
                 Ok(Some(Ok(frame))) => {
-                    // Trailers tell nothing that is passed on.
-                    let Some(bytes) = frame.into_data().ok().filter(|b| !b.is_empty()) else { continue };
-                    let whole = match &mut self.framer {
-                        Some(framer) => framer.take(bytes),
+                    // Trailers contain nothing to forward.
+                    let Some(bytes) = frame.into_data().ok().filter(|data| !data.is_empty()) else {
+                        continue;
+                    };
+                    let whole_events = match &mut self.framer {
+                        Some(framer) => framer.push(bytes),
                         None => Ok(bytes),
                     };
-                    match whole {
+                    match whole_events {
                         Ok(bytes) if bytes.is_empty() => {}
                         Ok(bytes) => {
-                            self.heard = Instant::now();
+                            self.last_event_at = Instant::now();
                             return Some(Ok(bytes));
                         }
-                        Err(Spoilt) => return self.broke(StreamError::Malformed),
+                        Err(MalformedEvents) => return self.fail(StreamError::Malformed),
                     }
                 }
-                Ok(None) if self.framer.as_mut().is_none_or(Framer::may_end) => {
-                    self.ended = true;
+                Ok(None) if self.framer.as_mut().is_none_or(Framer::is_complete_at_end) => {
+                    self.has_ended = true;
                     if let Some(connection) = self.connection.take() {
                         self.pool.put_back(self.host, connection);
                     }
-                    let rest = self.framer.as_mut().map(Framer::rest).filter(|rest| !rest.is_empty());
+                    let rest = self.framer.as_mut().map(Framer::take_rest).filter(|rest| !rest.is_empty());
                     return rest.map(Ok);
                 }
-                // This process was stopped meanwhile: what has come since then lies in the socket and is looked at first.
-                Err(_) if self.heard.elapsed() > SILENCE + OVERSLEPT => {
-                    self.heard = Instant::now() + OVERSLEPT - SILENCE;
+                // This process was suspended: what arrived meanwhile is still in the socket and is read
+                // first.
+                Err(_) if self.last_event_at.elapsed() > MAX_SILENCE + MAX_TIMER_DELAY => {
+                    self.last_event_at = Instant::now() + MAX_TIMER_DELAY - MAX_SILENCE;
                 }
-                // After an error event a break adds nothing: the client has its answer.
+                // After an error event a closed connection changes nothing: the client has its answer.
                 _ if self.has_error() => {
-                    self.ended = true;
+                    self.has_ended = true;
                     return None;
                 }
-                Ok(None) => return self.broke(StreamError::Cut),
-                Ok(Some(Err(fault))) => {
-                    return self.broke(if unreadable(&fault) {
+                Ok(None) => return self.fail(StreamError::Cut),
+                Ok(Some(Err(error))) => {
+                    return self.fail(if is_malformed_http(&error) {
                         StreamError::Malformed
                     } else {
                         StreamError::Cut
@@ -161,38 +181,43 @@
                 }
                 Err(_) => {
                     self.pool.mark_unresponsive(self.host);
-                    return self.broke(StreamError::Cut);
+                    return self.fail(StreamError::Cut);
                 }
             }
         }
     }
 
-    fn broke(&mut self, how: StreamError) -> Option<Result<Bytes, StreamError>> {
-        self.ended = true;
+    /// Ends the stream with an error and closes its connection.
+    fn fail(&mut self, error: StreamError) -> Option<Result<Bytes, StreamError>> {
+        self.has_ended = true;
         self.connection = None;
-        Some(Err(how))
+        Some(Err(error))
     }
 }
 
-/// Whether the bytes that came were not HTTP; else the connection itself failed.
-fn unreadable(fault: &hyper::Error) -> bool {
-    let io = fault.source().and_then(|source| source.downcast_ref::<io::Error>());
-    fault.is_parse()
-        || io.is_some_and(|io| matches!(io.kind(), io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData))
+/// Returns whether the received bytes were not valid HTTP; otherwise the connection itself failed.
+fn is_malformed_http(error: &hyper::Error) -> bool {
+    let io_error = error.source().and_then(|source| source.downcast_ref::<io::Error>());
+    error.is_parse()
+        || io_error.is_some_and(|error| {
+            matches!(error.kind(), io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData)
+        })
 }
 
-/// What came is no event stream.
+/// The received bytes are not an event stream.
 #[derive(Debug)]
-struct Spoilt;
+struct MalformedEvents;
 
-/// Cuts a stream into whole events across any cuts of its transport; changes nothing.
+/// Splits a byte stream into whole events, however the transport cuts it. The bytes stay unchanged.
 #[derive(Default)]
 struct Framer {
-    chat: bool,
-    /// The beginning of an event.
-    held: BytesMut,
-    done: bool,
-    error: bool,
+    is_chat: bool,
+    /// Start of an event whose end has not arrived.
+    incomplete: BytesMut,
+    /// Whether the event that marks the end of a chat stream has arrived.
+    is_done: bool,
+    /// Whether an event has reported an error.
+    has_error: bool,
 }
 
 #[derive(Deserialize)]
@@ -201,61 +226,67 @@
 }
 
 impl Framer {
-    /// Takes bytes in and gives all events that are whole; nothing while there are none.
-    fn take(&mut self, bytes: Bytes) -> Result<Bytes, Spoilt> {
-        if self.held.is_empty() && whole_events(&bytes) == bytes.len() {
+    /// Adds bytes and returns all events that are complete now; the result is empty if none is.
+    fn push(&mut self, bytes: Bytes) -> Result<Bytes, MalformedEvents> {
+        if self.incomplete.is_empty() && whole_events_len(&bytes) == bytes.len() {
             self.check(&bytes)?;
             return Ok(bytes);
         }
-        self.held.extend_from_slice(&bytes);
-        let whole = self.held.split_to(whole_events(&self.held)).freeze();
-        self.check(&whole)?;
-        // Noise shows at once; it is not waited for until it has filled an event.
-        let text = std::str::from_utf8(&self.held).map_or_else(|e| e.error_len().is_none(), |_| true);
-        if !text || self.held.iter().any(is_control) || self.held.len() > EVENT_MOST {
-            return Err(Spoilt);
+        self.incomplete.extend_from_slice(&bytes);
+        let whole_events = self.incomplete.split_to(whole_events_len(&self.incomplete)).freeze();
+        self.check(&whole_events)?;
+        // Binary data is rejected at once rather than after it has reached the size limit of an event.
+        let is_text =
+            std::str::from_utf8(&self.incomplete).map_or_else(|error| error.error_len().is_none(), |_| true);
+        if !is_text || self.incomplete.iter().any(is_control) || self.incomplete.len() > MAX_EVENT_BYTES {
+            return Err(MalformedEvents);
         }
-        Ok(whole)
+        Ok(whole_events)
     }
 
-    fn check(&mut self, events: &[u8]) -> Result<(), Spoilt> {
+    /// Checks that whole events are text, and looks for the end mark and errors of a chat stream.
+    fn check(&mut self, events: &[u8]) -> Result<(), MalformedEvents> {
         if std::str::from_utf8(events).is_err() || events.iter().any(is_control) {
-            return Err(Spoilt);
+            return Err(MalformedEvents);
         }
-        if self.chat {
-            events.split(|&b| b == b'\n').for_each(|line| self.line(line.trim_ascii()));
+        if self.is_chat {
+            events.split(|&byte| byte == b'\n').for_each(|line| self.inspect_line(line.trim_ascii()));
         }
         Ok(())
     }
 
-    fn line(&mut self, line: &[u8]) {
-        let Some(data) = line.strip_prefix(b"data:").map(|d| d.trim_ascii()) else { return };
-        let tells = |d| serde_json::from_slice(d).is_ok_and(|m: MaybeError| m.error.is_some());
-        self.done |= data == b"[DONE]";
-        self.error |= data != b"[DONE]" && tells(data);
+    /// Records whether the line is the end mark or an error of a chat stream.
+    fn inspect_line(&mut self, line: &[u8]) {
+        let Some(data) = line.strip_prefix(b"data:").map(|data| data.trim_ascii()) else { return };
+        let reports_error =
+            |data| serde_json::from_slice(data).is_ok_and(|message: MaybeError| message.error.is_some());
+        self.is_done |= data == b"[DONE]";
+        self.has_error |= data != b"[DONE]" && reports_error(data);
     }
 
-    /// What came behind the last whole event; the stream has ended there.
-    fn rest(&mut self) -> Bytes {
-        self.held.split().freeze()
+    /// Returns the bytes after the last whole event, once the stream has ended.
+    fn take_rest(&mut self) -> Bytes {
+        self.incomplete.split().freeze()
     }
 
-    /// Whether a stream that ends here is whole.
-    fn may_end(&mut self) -> bool {
-        if self.chat {
-            let rest = self.held.clone();
-            rest.as_ref().split(|&b| b == b'\n').for_each(|line| self.line(line.trim_ascii()));
+    /// Returns whether a stream that ends here is complete.
+    fn is_complete_at_end(&mut self) -> bool {
+        if self.is_chat {
+            let rest = self.incomplete.clone();
+            rest.as_ref().split(|&byte| byte == b'\n').for_each(|line| self.inspect_line(line.trim_ascii()));
         }
-        !self.chat || self.done || self.error
+        !self.is_chat || self.is_done || self.has_error
     }
 }
 
-/// How many of the bytes are whole events: up to the last empty line.
-fn whole_events(bytes: &[u8]) -> usize {
-    let empty_line = |at: &usize| matches!(bytes[..=*at], [.., b'\n', b'\n'] | [.., b'\n', b'\r', b'\n']);
-    (0..bytes.len()).rev().find(empty_line).map_or(0, |at| at + 1)
+/// Returns the length of the whole events at the start of the bytes: up to the last empty line.
+fn whole_events_len(bytes: &[u8]) -> usize {
+    let ends_empty_line =
+        |index: &usize| matches!(bytes[..=*index], [.., b'\n', b'\n'] | [.., b'\n', b'\r', b'\n']);
+    (0..bytes.len()).rev().find(ends_empty_line).map_or(0, |index| index + 1)
 }
 
+/// Returns whether the byte is a control character that text does not contain.
 fn is_control(byte: &u8) -> bool {
     byte.is_ascii_control() && !matches!(byte, b'\n' | b'\r' | b'\t')
 }
--- a/src/node/upstream/headers.rs
+++ b/src/node/upstream/headers.rs
@@ -1,18 +1,18 @@
-//! Which of a client's headers go on to an instance: all but those that concern one connection alone, as a proxy passes on
-//! what it does not know (RFC 9110, section 7.6).
+//! Selects the headers of a client's request that are forwarded to an instance. As a proxy has to (RFC 9110,
+//! section 7.6), the conductor forwards headers that it does not know and drops those of a single connection.
 
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, EXPECT, HOST, HeaderMap, HeaderName, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION,
     TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Names an attempt's request at instances, and their log of it.
+/// Header with the id of the request, which instances use in their log and for releases.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
-/// Tells an instance how long its answer is waited for.
+/// Header that tells an instance how long the conductor waits for its answer, in milliseconds.
 pub const REQUEST_TIMEOUT: HeaderName = HeaderName::from_static("request-timeout-ms");
 
-/// Of one connection alone, whether or not `Connection` names them.
-const HOP_BY_HOP: [HeaderName; 9] = [
+/// Headers that concern a single connection even if `Connection` does not name them.
+const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     CONNECTION,
     HeaderName::from_static("keep-alive"),
     HeaderName::from_static("proxy-connection"),
@@ -23,25 +23,28 @@
     TRANSFER_ENCODING,
     UPGRADE,
 ];
-/// Written anew for each attempt. An expected `100 Continue` has been sent by the time that a body is here.
-const WRITTEN_ANEW: [HeaderName; 5] = [HOST, CONTENT_LENGTH, EXPECT, REQUEST_ID, REQUEST_TIMEOUT];
+/// Headers that are written anew for each attempt, or dropped: a client that expects `100 Continue` has
+/// received it before the conductor has the body.
+const REPLACED_HEADERS: [HeaderName; 5] = [HOST, CONTENT_LENGTH, EXPECT, REQUEST_ID, REQUEST_TIMEOUT];
 
-/// Whether `Connection` names this header as one of the connection alone.
-fn named_by_connection(headers: &HeaderMap, name: &HeaderName) -> bool {
+/// Returns whether a `Connection` header names this header as one of the single connection.
+fn is_named_by_connection(headers: &HeaderMap, name: &HeaderName) -> bool {
     let lists = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
-    lists.flat_map(|list| list.split(',')).any(|named| named.trim().eq_ignore_ascii_case(name.as_str()))
+    lists.flat_map(|list| list.split(',')).any(|listed| listed.trim().eq_ignore_ascii_case(name.as_str()))
 }
 
-/// The headers that go on unchanged, in the order in which they came.
+/// Returns the headers to forward unchanged, in the order in which they came.
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
-    let dropped = |name: &HeaderName| {
-        HOP_BY_HOP.contains(name) || WRITTEN_ANEW.contains(name) || named_by_connection(headers, name)
+    let is_dropped = |name: &HeaderName| {
+        HOP_BY_HOP_HEADERS.contains(name)
+            || REPLACED_HEADERS.contains(name)
+            || is_named_by_connection(headers, name)
     };
-    let mut passed = HeaderMap::new();
-    for (name, value) in headers.iter().filter(|(name, _)| !dropped(name)) {
-        passed.append(name, value.clone());
+    let mut forwarded = HeaderMap::new();
+    for (name, value) in headers.iter().filter(|(name, _)| !is_dropped(name)) {
+        forwarded.append(name, value.clone());
     }
-    passed
+    forwarded
 }
 
 #[cfg(test)]
--- a/src/node/upstream/headers/tests.rs
+++ b/src/node/upstream/headers/tests.rs
@@ -1,36 +1,36 @@
 use super::*;
 
-fn headers(lines: &[(&'static str, &'static str)]) -> HeaderMap {
+fn header_map(lines: &[(&'static str, &'static str)]) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for &(name, value) in lines {
-        headers.append(HeaderName::from_static(name), value.parse().expect("a value"));
+        headers.append(HeaderName::from_static(name), value.parse().expect("a valid header value"));
     }
     headers
 }
 
 #[test]
-fn what_is_not_known_goes_on_as_it_came_and_in_its_order() {
-    let came = headers(&[
+fn unknown_headers_are_forwarded_unchanged_and_in_order() {
+    let received = header_map(&[
         ("host", "app.svc"),
         ("idempotency-key", "k-1"),
         ("x-anything", "one"),
         ("content-type", "application/json"),
         ("x-anything", "two"),
     ]);
-    let passed = end_to_end_headers(&came);
-    let passed: Vec<_> = passed.iter().map(|(name, value)| (name.as_str(), value.as_bytes())).collect();
-    let wanted: [(&str, &[u8]); 4] = [
+    let forwarded = end_to_end_headers(&received);
+    let forwarded: Vec<_> = forwarded.iter().map(|(name, value)| (name.as_str(), value.as_bytes())).collect();
+    let expected: [(&str, &[u8]); 4] = [
         ("idempotency-key", b"k-1"),
         ("x-anything", b"one"),
         ("x-anything", b"two"),
         ("content-type", b"application/json"),
     ];
-    assert_eq!(passed, wanted);
+    assert_eq!(forwarded, expected);
 }
 
 #[test]
-fn what_belongs_to_the_clients_connection_or_is_written_anew_stays_behind() {
-    let came = headers(&[
+fn hop_by_hop_and_replaced_headers_are_not_forwarded() {
+    let received = header_map(&[
         ("connection", "close, X-Hop"),
         ("connection", "x-other-hop"),
         ("x-hop", "1"),
@@ -44,5 +44,5 @@
         ("request-id", "0a"),
         ("request-timeout-ms", "500"),
     ]);
-    assert!(end_to_end_headers(&came).is_empty(), "{:?}", end_to_end_headers(&came));
+    assert!(end_to_end_headers(&received).is_empty(), "{:?}", end_to_end_headers(&received));
 }
--- a/src/node/upstream/lease_keeper.rs
+++ b/src/node/upstream/lease_keeper.rs
@@ -1,5 +1,6 @@
-//! Carries out, for one request, what its [`Lease`] asks for: releases are sent until a server confirms them, beside whatever else
-//! becomes of the request, and after its end for as long as something may come to be held.
+//! Sends the releases that the [`Lease`] of one request asks for. A task beside the request repeats each
+//! release until a server confirms it, and runs on after the end of the request for as long as servers may
+//! still hold state for it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,88 +16,93 @@
 use crate::logic::lease::{AttemptEnd, Lease};
 use crate::node::span;
 
-/// For a release before the next read: one that arrives later would let go of that read's state, too.
-const RELEASE_FIRST: Duration = Duration::from_millis(250);
+/// Longest wait for a release before the next read of the prompt. A release that arrives after that read has
+/// started would release its state, too.
+const PRE_READ_RELEASE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// For which what was written to a connection that fell silent may still arrive: outages of a network are shorter.
-const SILENT_MOST: Duration = Duration::from_secs(30);
+/// Time for which data that was written to a silent connection may still arrive; network outages are shorter.
+const MAX_SILENT_CONNECTION_TIME: Duration = Duration::from_secs(30);
 
-/// What happens to a request, as far as states are concerned.
-enum Happening {
-    /// The other end lives for as long as nothing is known of the attempt's connection.
+/// Event of a request that concerns the state held for it.
+enum LeaseEvent {
+    /// A read was sent. The sending half of the channel lives until the attempt's connection is known to have
+    /// ended.
     ReadSent(oneshot::Receiver<()>),
     WriteSent,
-    Ended(AttemptEnd),
-    StreamBegan,
-    Release(ReleaseReason),
-    /// Tell when no release is owed at once.
+    AttemptEnded(AttemptEnd),
+    StreamStarted,
+    ReleaseRequested(ReleaseReason),
+    /// Asks for a notification as soon as no requested release is outstanding.
     Settle(oneshot::Sender<()>),
 }
 
-fn micros(start: Instant, moment: Instant) -> Micros {
+/// Returns the time from `start` to `moment`.
+fn micros_since(start: Instant, moment: Instant) -> Micros {
     moment.saturating_duration_since(start).as_micros() as Micros
 }
 
-/// Keeps watch over what servers hold for one request. Without a reader there is nothing to watch, and no task.
+/// Tracks and releases the state that servers hold for one request. Its task starts with the first read;
+/// without one there is nothing to release.
 pub struct LeaseKeeper {
     upstream: Rc<Upstream>,
-    id: Rc<str>,
+    request_id: Rc<str>,
     start: Instant,
-    task: Option<(mpsc::UnboundedSender<Happening>, JoinHandle<()>)>,
+    task: Option<(mpsc::UnboundedSender<LeaseEvent>, JoinHandle<()>)>,
 }
 
 impl LeaseKeeper {
-    /// For a request for which nothing was sent yet.
-    pub fn new(upstream: Rc<Upstream>, id: Rc<str>) -> Self {
-        LeaseKeeper { upstream, id, start: Instant::now(), task: None }
+    /// Creates the keeper of a request of which nothing has been sent yet.
+    pub fn new(upstream: Rc<Upstream>, request_id: Rc<str>) -> Self {
+        LeaseKeeper { upstream, request_id, start: Instant::now(), task: None }
     }
 
-    fn tell(&self, happening: Happening) {
-        if let Some((happenings, _)) = &self.task {
-            // The task ends after this sender has gone.
-            let _ = happenings.send(happening);
+    fn send_event(&self, event: LeaseEvent) {
+        if let Some((events, _)) = &self.task {
+            // The task receives events until this sender is dropped.
+            let _ = events.send(event);
         }
     }
 
-    /// The prompt is about to be read. What an earlier read left is released first, as far as that takes no longer than
-    /// [`RELEASE_FIRST`].
+    /// Prepares for a read of the prompt. Waits until what an earlier read left is released, but no longer
+    /// than [`PRE_READ_RELEASE_TIMEOUT`].
     pub async fn prepare_read(&mut self) {
         let Some(pin_limit) = self.upstream.pin_limit() else { return };
         if self.task.is_some() {
             let (settled, is_settled) = oneshot::channel();
-            self.tell(Happening::Settle(settled));
-            let _ = timeout(RELEASE_FIRST, is_settled).await;
+            self.send_event(LeaseEvent::Settle(settled));
+            let _ = timeout(PRE_READ_RELEASE_TIMEOUT, is_settled).await;
         } else {
-            let (happenings, inbox) = mpsc::unbounded_channel();
-            let keeper = Keeper {
+            let (events, inbox) = mpsc::unbounded_channel();
+            let lease_task = LeaseTask {
                 upstream: self.upstream.clone(),
-                id: self.id.clone(),
+                request_id: self.request_id.clone(),
                 lease: Lease::new(pin_limit),
                 start: self.start,
-                reason: ReleaseReason::Unanswered,
-                waiting: Vec::new(),
-                reading: None,
-                silent: JoinSet::new(),
+                next_reason: ReleaseReason::Unanswered,
+                settle_waiters: Vec::new(),
+                read_connection: None,
+                silent_connections: JoinSet::new(),
             };
-            self.task = Some((happenings, tokio::task::spawn_local(keeper.run(inbox))));
+            self.task = Some((events, tokio::task::spawn_local(lease_task.run(inbox))));
         }
     }
 
-    /// The prompt is sent to a reader, over a connection that keeps the result until its end is known there.
+    /// Records that the prompt is sent to a reader. The returned guard belongs to the connection of the
+    /// attempt, which drops it when the end of the connection is known.
     pub fn read_sent(&self) -> CloseGuard {
-        let (unknown, known) = oneshot::channel();
-        self.tell(Happening::ReadSent(known));
-        unknown
+        let (close_guard, connection_end) = oneshot::channel();
+        self.send_event(LeaseEvent::ReadSent(connection_end));
+        close_guard
     }
 
-    /// The call for the state is sent to a writer.
+    /// Records that the call for the state is sent to a writer.
     pub fn write_sent(&self) {
-        self.tell(Happening::WriteSent);
+        self.send_event(LeaseEvent::WriteSent);
     }
 
-    /// The attempt that was out has ended with no stream.
+    /// Records that the attempt in flight ended without a stream.
     pub fn attempt_ended(&self, outcome: Outcome) {
-        self.tell(Happening::Ended(match outcome {
+        self.send_event(LeaseEvent::AttemptEnded(match outcome {
             Outcome::Read => AttemptEnd::Read,
             Outcome::Full | Outcome::Unreachable | Outcome::Moot => AttemptEnd::NothingLeft,
             Outcome::NoState => AttemptEnd::NoState,
@@ -105,134 +111,140 @@
         }));
     }
 
-    /// The stream has begun.
+    /// Records that the stream has started.
     pub fn stream_started(&self) {
-        self.tell(Happening::StreamBegan);
+        self.send_event(LeaseEvent::StreamStarted);
     }
 
-    /// Nothing of what is held is of use any more.
+    /// Requests the release of everything that is held for the request.
     pub fn request_release(&self, reason: ReleaseReason) {
-        self.tell(Happening::Release(reason));
+        self.send_event(LeaseEvent::ReleaseRequested(reason));
     }
 
-    /// The request is over: waits until nothing is held and nothing can come to be held.
+    /// Ends the request: waits until no state is held for it and none can come to be held.
     pub async fn finish(mut self) {
         self.request_release(ReleaseReason::RequestOver);
-        if let Some((happenings, task)) = self.task.take() {
-            drop(happenings);
+        if let Some((events, task)) = self.task.take() {
+            drop(events);
             let _ = task.await;
         }
     }
 }
 
-/// The task of a [`LeaseKeeper`].
-struct Keeper {
+/// Task of a [`LeaseKeeper`].
+struct LeaseTask {
     upstream: Rc<Upstream>,
-    id: Rc<str>,
+    request_id: Rc<str>,
     lease: Lease,
     start: Instant,
-    reason: ReleaseReason,
-    waiting: Vec<oneshot::Sender<()>>,
-    /// Of the read that is out.
-    reading: Option<oneshot::Receiver<()>>,
-    /// Of reads that ended without a word: each ends when its connection has.
-    silent: JoinSet<()>,
+    /// Reason to state for the next release.
+    next_reason: ReleaseReason,
+    settle_waiters: Vec<oneshot::Sender<()>>,
+    /// Resolves when the connection of the read in flight is known to have ended.
+    read_connection: Option<oneshot::Receiver<()>>,
+    /// One task for each read that ended without an answer; it ends when the connection of the read has
+    /// ended.
+    silent_connections: JoinSet<()>,
 }
 
-impl Keeper {
+impl LeaseTask {
     fn now(&self) -> Micros {
-        micros(self.start, Instant::now())
+        micros_since(self.start, Instant::now())
     }
 
-    async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Happening>) {
-        let mut over = false;
+    async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<LeaseEvent>) {
+        let mut is_request_over = false;
         loop {
             if self.lease.release_requested_at().is_none() {
-                for settled in self.waiting.drain(..) {
+                for settled in self.settle_waiters.drain(..) {
                     let _ = settled.send(());
                 }
             }
-            if over && self.lease.is_settled() {
+            if is_request_over && self.lease.is_settled() {
                 return;
             }
-            let due = self.lease.next_release_at();
-            if due.is_some_and(|at| at <= self.now()) {
-                self.release(&mut inbox, &mut over).await;
+            let next_release = self.lease.next_release_at();
+            if next_release.is_some_and(|at| at <= self.now()) {
+                self.release(&mut inbox, &mut is_request_over).await;
                 continue;
             }
-            let due_at = self.start + span(due.unwrap_or_default());
+            let release_at = self.start + span(next_release.unwrap_or_default());
             tokio::select! {
                 biased;
-                happening = inbox.recv(), if !over => match happening {
-                    Some(happening) => self.take(happening),
-                    None => over = true,
+                event = inbox.recv(), if !is_request_over => match event {
+                    Some(event) => self.handle(event),
+                    None => is_request_over = true,
                 },
-                Some(_) = self.silent.join_next() => self.silence_ended(),
-                () = sleep_until(due_at), if due.is_some() => {}
+                Some(_) = self.silent_connections.join_next() => self.silent_connection_closed(),
+                () = sleep_until(release_at), if next_release.is_some() => {}
             }
         }
     }
 
-    /// Releases until a server confirms it; takes in meanwhile what happens. What has to be released since then is begun anew, as a
-    /// call that was sent before does not count for it.
-    async fn release(&mut self, inbox: &mut mpsc::UnboundedReceiver<Happening>, over: &mut bool) {
-        let reason = std::mem::replace(&mut self.reason, ReleaseReason::Unanswered);
-        let mut released = std::pin::pin!(release(self.upstream.clone(), self.id.clone(), reason));
-        let wanted = self.lease.release_requested_at();
-        let sent = loop {
+    /// Sends a release until a server confirms it, and handles events meanwhile. Stops if another release is
+    /// requested in the meantime: calls that were sent before that request do not count for it, so a new
+    /// release has to start.
+    async fn release(&mut self, inbox: &mut mpsc::UnboundedReceiver<LeaseEvent>, is_request_over: &mut bool) {
+        let reason = std::mem::replace(&mut self.next_reason, ReleaseReason::Unanswered);
+        let mut confirmation =
+            std::pin::pin!(release(self.upstream.clone(), self.request_id.clone(), reason));
+        let requested_at = self.lease.release_requested_at();
+        let sent_at = loop {
             tokio::select! {
                 biased;
-                sent = &mut released => break sent,
-                happening = inbox.recv(), if !*over => match happening {
-                    Some(happening) => self.take(happening),
-                    None => *over = true,
+                sent_at = &mut confirmation => break sent_at,
+                event = inbox.recv(), if !*is_request_over => match event {
+                    Some(event) => self.handle(event),
+                    None => *is_request_over = true,
                 },
-                Some(_) = self.silent.join_next() => self.silence_ended(),
+                Some(_) = self.silent_connections.join_next() => self.silent_connection_closed(),
             }
-            if self.lease.release_requested_at() > wanted {
+            if self.lease.release_requested_at() > requested_at {
                 return;
             }
         };
-        match sent {
-            Some(sent) => self.lease.release_confirmed(micros(self.start, sent)),
+        match sent_at {
+            Some(sent_at) => self.lease.release_confirmed(micros_since(self.start, sent_at)),
             None => self.lease.abandon(),
         }
     }
 
-    fn silence_ended(&mut self) {
-        tracing::debug!(request = %self.id, "state: a silent connection has ended");
+    fn silent_connection_closed(&mut self) {
+        tracing::debug!(request = %self.request_id, "state: a silent connection has closed");
         self.lease.silent_connection_closed(self.now());
     }
 
-    fn take(&mut self, happening: Happening) {
-        let (now, id) = (self.now(), &self.id);
-        match happening {
-            Happening::ReadSent(known) => {
-                self.reading = Some(known);
+    fn handle(&mut self, event: LeaseEvent) {
+        let (now, request_id) = (self.now(), &self.request_id);
+        match event {
+            LeaseEvent::ReadSent(connection_end) => {
+                self.read_connection = Some(connection_end);
                 self.lease.read_sent();
             }
-            Happening::WriteSent => self.lease.write_sent(),
-            Happening::Ended(end) => {
-                tracing::debug!(request = %id, ?end, "state: an attempt ended");
+            LeaseEvent::WriteSent => self.lease.write_sent(),
+            LeaseEvent::AttemptEnded(end) => {
+                tracing::debug!(request = %request_id, ?end, "state: an attempt ended");
                 self.lease.attempt_ended(now, end);
-                let known = self.reading.take();
+                let connection_end = self.read_connection.take();
                 if end == AttemptEnd::Unknown {
-                    self.reason = ReleaseReason::NoAnswer;
-                    if let Some(known) = known {
+                    self.next_reason = ReleaseReason::NoAnswer;
+                    if let Some(connection_end) = connection_end {
                         self.lease.connection_fell_silent();
-                        self.silent.spawn_local(async move { drop(timeout(SILENT_MOST, known).await) });
+                        self.silent_connections.spawn_local(async move {
+                            drop(timeout(MAX_SILENT_CONNECTION_TIME, connection_end).await)
+                        });
                     }
                 }
             }
-            Happening::StreamBegan => {
-                tracing::debug!(request = %id, "state: taken");
+            LeaseEvent::StreamStarted => {
+                tracing::debug!(request = %request_id, "state: fetched by the writer");
                 self.lease.stream_started();
             }
-            Happening::Release(reason) => {
+            LeaseEvent::ReleaseRequested(reason) => {
                 self.lease.request_release(now);
-                self.reason = reason;
+                self.next_reason = reason;
             }
-            Happening::Settle(settled) => self.waiting.push(settled),
+            LeaseEvent::Settle(settled) => self.settle_waiters.push(settled),
         }
     }
 }
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -1,6 +1,8 @@
-//! Ways to instances: [`attempt`] plays one exchange over a connection of the [`pool`], [`relay`] passes the stream's
-//! [`events`] on, [`release`] lets go of what is held, when [`lease_keeper`] says so, [`headers`] tells which of a client's
-//! headers go on, [`socket`] checks a request before its first byte.
+//! HTTP client side of the conductor: everything that is sent to instances. [`attempt`] performs one exchange
+//! over a connection of the [`pool`], [`events`] splits the streamed answer into whole events and [`relay`]
+//! forwards them to the client. [`lease_keeper`] decides for one request when its cached state is released,
+//! and [`release`] sends the release. [`headers`] selects the client's headers to forward, and [`socket`]
+//! checks a request before its first byte.
 
 pub mod attempt;
 pub mod events;
--- a/src/node/upstream/pool/tests.rs
+++ b/src/node/upstream/pool/tests.rs
@@ -6,8 +6,8 @@
 use crate::node::upstream::attempt::{Protocol, Upstream};
 
 const HOST: HostId = HostId(1);
-/// What a call to connect may fail with for want of something that this machine lacks for a moment.
-const LOCAL: [Errno; 8] = [
+/// Errors of a call to connect that are caused by a temporary shortage on this machine.
+const LOCAL_ERRORS: [Errno; 8] = [
     Errno::MFILE,
     Errno::NFILE,
     Errno::NOBUFS,
@@ -17,21 +17,21 @@
     Errno::AGAIN,
     Errno::INTR,
 ];
-/// What it fails with where the way to the instance, or the instance, is at fault.
-const REMOTE: [Errno; 4] = [Errno::CONNREFUSED, Errno::TIMEDOUT, Errno::HOSTUNREACH, Errno::CONNRESET];
+/// Errors of a call to connect that are caused by the instance or the network path to it.
+const REMOTE_ERRORS: [Errno; 4] = [Errno::CONNREFUSED, Errno::TIMEDOUT, Errno::HOSTUNREACH, Errno::CONNRESET];
 
-fn faults(errno: Errno, times: usize) -> impl Iterator<Item = io::Error> {
-    (0..times).map(move |_| io::Error::from_raw_os_error(errno.raw_os_error()))
+fn faults(errno: Errno, count: usize) -> impl Iterator<Item = io::Error> {
+    (0..count).map(move |_| io::Error::from_raw_os_error(errno.raw_os_error()))
 }
 
-/// A pool with one instance that listens and takes connections.
+/// Creates a pool with one instance that listens and accepts connections.
 async fn pool() -> Pool {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
-    let addr = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let addr = listener.local_addr().expect("the listener's address");
     tokio::task::spawn_local(async move {
-        let mut taken = Vec::new();
+        let mut accepted = Vec::new();
         while let Ok(connection) = listener.accept().await {
-            taken.push(connection);
+            accepted.push(connection);
         }
     });
     let limits = PoolLimits {
@@ -45,41 +45,44 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_fault_of_this_machine_is_waited_out() {
+async fn a_local_fault_is_retried() {
     let test = async {
-        for errno in LOCAL {
+        for errno in LOCAL_ERRORS {
             let pool = pool().await;
             pool.connect_faults.borrow_mut().extend(faults(errno, 5));
             let connected = pool.acquire(HOST, LocalFaultHandling::Retry, Reuse::Allowed).await;
             assert!(connected.is_ok(), "{errno:?}");
-            assert_eq!(pool.permits.available_permits(), 7, "one connection is counted");
+            assert_eq!(pool.permits.available_permits(), 7, "one permit is in use");
         }
     };
     LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_fault_of_this_machine_that_lasts_is_told_apart_and_leaks_nothing() {
+async fn a_lasting_local_fault_is_reported_as_such_and_leaks_no_permit() {
     let test = async {
         let pool = pool().await;
         pool.connect_faults.borrow_mut().extend(faults(Errno::MFILE, 1_000));
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let connected = pool.acquire(HOST, LocalFaultHandling::Retry, Reuse::Allowed).await.map(drop);
         assert_eq!(connected, Err(ConnectError::LocalFault));
-        assert_eq!(begun.elapsed(), pool.limits.connect_timeout);
+        assert_eq!(started_at.elapsed(), pool.limits.connect_timeout);
         let tries = 1_000 - pool.connect_faults.borrow().len();
         assert!((10..=30).contains(&tries), "{tries} tries");
-        let told = pool.acquire(HOST, LocalFaultHandling::Fail, Reuse::Allowed).await.map(drop);
-        assert_eq!((told, begun.elapsed()), (Err(ConnectError::LocalFault), pool.limits.connect_timeout));
+        let failed = pool.acquire(HOST, LocalFaultHandling::Fail, Reuse::Allowed).await.map(drop);
+        assert_eq!(
+            (failed, started_at.elapsed()),
+            (Err(ConnectError::LocalFault), pool.limits.connect_timeout)
+        );
         assert_eq!(pool.permits.available_permits(), 8);
     };
     LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_fault_of_the_way_or_the_instance_is_told_at_once() {
+async fn a_fault_of_the_network_or_the_instance_is_reported_at_once() {
     let test = async {
-        for errno in REMOTE {
+        for errno in REMOTE_ERRORS {
             let pool = pool().await;
             pool.connect_faults.borrow_mut().extend(faults(errno, 1));
             let connected = pool.acquire(HOST, LocalFaultHandling::Retry, Reuse::Allowed).await.map(drop);
@@ -93,9 +96,9 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A probe that this machine cannot make says nothing against its instance.
+/// A probe that fails because of a local fault must not count against the instance.
 #[tokio::test(start_paused = true)]
-async fn a_probe_that_cannot_be_made_is_not_held_against_the_instance() {
+async fn a_probe_that_cannot_be_sent_does_not_count_against_the_instance() {
     let test = async {
         let pool = Rc::new(pool().await);
         pool.connect_faults.borrow_mut().extend(faults(Errno::ADDRNOTAVAIL, 1));
@@ -108,37 +111,40 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A request on its way over a connection that is given up: its server hears of the end at once, and the witness lives until the
-/// server has ended the connection, too.
+/// Drops a connection while its request is in flight: the server sees the end of the sending half at once,
+/// and the close guard lives until the server has closed the connection, too.
 #[tokio::test]
-async fn the_end_of_an_attempt_that_was_given_up_is_seen_by_its_witness() {
+async fn the_close_guard_of_an_abandoned_attempt_lives_until_the_server_closes() {
     let test = async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
-        let addr = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let addr = listener.local_addr().expect("the listener's address");
         let pool = pool().await;
         pool.set_endpoint(HOST, Some(Endpoint { name: "r1".into(), addr, role: Role::Read, is_ready: true }));
-        let (witness, mut known) = oneshot::channel();
+        let (close_guard, mut connection_end) = oneshot::channel();
         let mut connection =
             pool.acquire(HOST, LocalFaultHandling::Fail, Reuse::Never).await.expect("a connection");
         let (mut server, _) = listener.accept().await.expect("a connection");
         let (body, _) = connection.request_body(Bytes::from_static(b"{}"), SendCheck::Unchecked);
-        connection.witness = Some(witness);
+        connection.close_guard = Some(close_guard);
         let sending = async {
-            let request = hyper::Request::post("/").body(body).expect("a request");
+            let request = hyper::Request::post("/").body(body).expect("a valid request");
             connection.sender().send_request(request).await.map(drop)
         };
-        let mut head = [0; 1_024];
+        let mut received = [0; 1_024];
         tokio::select! {
-            _ = sending => panic!("nobody answers"),
-            read = server.read(&mut head) => assert!(read.is_ok_and(|read| read > 0)),
+            _ = sending => panic!("the server does not answer"),
+            read = server.read(&mut received) => assert!(read.is_ok_and(|read| read > 0)),
         }
         drop(connection);
-        while server.read(&mut head).await.expect("an end in order") > 0 {}
-        assert!(known.try_recv().is_err_and(|why| why == oneshot::error::TryRecvError::Empty), "not yet");
-        assert_eq!(pool.given_up.0.get(), 1);
+        while server.read(&mut received).await.expect("an orderly end of the data") > 0 {}
+        assert!(
+            connection_end.try_recv().is_err_and(|error| error == oneshot::error::TryRecvError::Empty),
+            "the guard lives"
+        );
+        assert_eq!(pool.abandoned.0.get(), 1);
         drop(server);
-        known.await.expect_err("it goes with the connection");
-        assert_eq!(pool.given_up.0.get(), 0);
+        connection_end.await.expect_err("the guard is dropped with the connection");
+        assert_eq!(pool.abandoned.0.get(), 0);
     };
     LocalSet::new().run_until(test).await;
 }
--- a/src/node/upstream/relay.rs
+++ b/src/node/upstream/relay.rs
@@ -1,42 +1,44 @@
-//! Passing a stream on, event by event, as the bytes that came.
+//! Forwards the events of a stream to the client, byte for byte.
 
 use tokio::sync::mpsc;
 
 use super::events::{EventStream, StreamChunk, StreamError};
 
-/// Pieces of a stream that wait for a slow reader; past them the instance's connection is read no further.
+/// Most chunks of a stream that wait for a slow client. While as many wait, the instance's connection is not
+/// read.
 pub const MAX_WAITING_CHUNKS: usize = 4;
 
-/// How passing on ended.
+/// How the forwarding of a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayEnd {
-    /// The whole stream.
+    /// The whole stream was forwarded.
     Complete,
-    /// It broke.
+    /// The stream broke.
     Broken(StreamError),
-    /// It told an error of its own as an event, and that is all.
+    /// The stream ended with an event that reports an error of the instance.
     ErrorEvent,
-    /// The client went away.
+    /// The client disconnected.
     ClientLeft,
 }
 
-/// Passes events on until the stream ends either way.
+/// Forwards events until the stream ends or the client disconnects.
 pub async fn forward_events(events: &mut EventStream, client: &mpsc::Sender<StreamChunk>) -> RelayEnd {
     loop {
-        let piece = tokio::select! {
+        let chunk = tokio::select! {
             () = client.closed() => return RelayEnd::ClientLeft,
-            piece = events.next() => piece,
+            chunk = events.next() => chunk,
         };
-        match piece {
+        match chunk {
             Some(Ok(bytes)) => {
                 if client.send(Ok(bytes)).await.is_err() {
                     return RelayEnd::ClientLeft;
                 }
             }
-            Some(Err(broken)) => {
-                // A full channel means a slow reader: the break waits its turn, the client's leaving does not.
-                let told = client.send(Err(broken)).await;
-                return if told.is_ok() { RelayEnd::Broken(broken) } else { RelayEnd::ClientLeft };
+            Some(Err(error)) => {
+                // If the channel is full, the error waits until the slow client has read. A client that
+                // disconnects ends the wait.
+                let sent = client.send(Err(error)).await;
+                return if sent.is_ok() { RelayEnd::Broken(error) } else { RelayEnd::ClientLeft };
             }
             None if events.has_error() => return RelayEnd::ErrorEvent,
             None => return RelayEnd::Complete,
--- a/src/node/upstream/socket.rs
+++ b/src/node/upstream/socket.rs
@@ -1,5 +1,5 @@
-//! A socket to an instance, as one request at a time sees it: a last check directly before the request's first byte, and a
-//! mark of when its last byte has left the process.
+//! Socket of a connection to an instance. Checks each request directly before its first byte is written and
+//! records when its last byte has left the process.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -19,51 +19,52 @@
 
 /// How far a request has been written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Written {
+enum WriteProgress {
+    /// The last byte has not been written.
     #[default]
-    No,
+    Incomplete,
     /// The last byte was handed to the connection's buffer.
-    Handed,
+    Buffered,
     /// The buffer with the last byte was flushed to the socket.
-    Yes,
-    /// The look before the first byte stopped it.
+    Flushed,
+    /// The check before the first byte stopped the request.
     Stopped(NotSentReason),
 }
 
-/// Why a request that had been decided on did not begin.
+/// Why a request was not sent although an attempt was decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotSentReason {
-    /// Its instance drains or is gone.
-    #[error("it drains or is gone since it was chosen")]
-    Drains,
-    /// Its client has gone.
-    #[error("the client has gone")]
+    /// The instance drains or is gone.
+    #[error("the instance drains or is gone since it was chosen")]
+    Draining,
+    /// The client has disconnected.
+    #[error("the client has disconnected")]
     ClientGone,
-    /// The time of the attempt was over before it could begin.
-    #[error("its time is over")]
-    TooLate,
+    /// The deadline of the attempt passed before the first byte.
+    #[error("the deadline of the attempt has passed")]
+    DeadlinePassed,
 }
 
 /// Tells whether a request's last byte has been written to the socket.
 #[derive(Clone, Default)]
-pub struct WriteStatus(Rc<Cell<Written>>);
+pub struct WriteStatus(Rc<Cell<WriteProgress>>);
 
 impl WriteStatus {
-    /// Whether the last byte was written.
+    /// Returns whether the last byte was written to the socket.
     pub fn is_written(&self) -> bool {
-        self.0.get() == Written::Yes
+        self.0.get() == WriteProgress::Flushed
     }
 
-    /// Why not a byte of it was written, where the look before the first one stopped it.
-    pub fn held_back(&self) -> Option<NotSentReason> {
-        if let Written::Stopped(why) = self.0.get() { Some(why) } else { None }
+    /// Returns why no byte was written, if the check before the first byte stopped the request.
+    pub fn not_sent_reason(&self) -> Option<NotSentReason> {
+        if let WriteProgress::Stopped(reason) = self.0.get() { Some(reason) } else { None }
     }
 }
 
-/// A request body in one piece that marks when it has been handed over.
+/// Request body in one piece that records when it has been handed to the connection.
 pub struct RequestBody {
     data: Option<Bytes>,
-    mark: WriteStatus,
+    status: WriteStatus,
 }
 
 impl Body for RequestBody {
@@ -73,7 +74,7 @@
     fn poll_frame(
         mut self: Pin<&mut Self>, _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.mark.0.set(Written::Handed);
+        self.status.0.set(WriteProgress::Buffered);
         Poll::Ready(self.data.take().map(|data| Ok(Frame::data(data))))
     }
 
@@ -82,79 +83,85 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.data.as_ref().map_or(0, |d| d.len() as u64))
+        SizeHint::with_exact(self.data.as_ref().map_or(0, |data| data.len() as u64))
     }
 }
 
 /// What is checked before the first byte of a request.
 #[derive(Clone, Default)]
 pub enum SendCheck {
-    /// A client's request: its instance takes new work, its client waits, and the time of the attempt is not over.
+    /// Attempt of a client's request: the instance must accept new work, the client must still wait and the
+    /// deadline of the attempt must not have passed.
     Attempt {
-        /// Whether the client waits.
-        wanted: Wanted,
-        /// When the attempt is given up.
-        until: Instant,
+        /// Whether the client still waits.
+        client: Wanted,
+        /// When the attempt is cancelled.
+        deadline: Instant,
     },
-    /// A probe: its instance takes new work.
+    /// Probe: the instance must accept new work.
     Probe,
-    /// Nothing: the request has begun, or it lets go of what is held, which any instance takes.
+    /// No check: the request has started already, or it is a release, which any instance accepts.
     #[default]
     Unchecked,
 }
 
-/// The socket. An attempt whose last byte was never written is known never to have run: hyper flushes the socket only once
-/// its own buffer is empty.
+/// TCP stream that checks and tracks one request at a time. Hyper flushes the stream only once its own buffer
+/// is empty, so an attempt whose last byte was not flushed is known never to have run.
 pub struct CheckedSocket {
     socket: Uninterrupted<TcpStream>,
-    mark: WriteStatus,
+    status: WriteStatus,
     check: Rc<RefCell<SendCheck>>,
-    takes_new_work: Rc<Cell<bool>>,
+    accepts_work: Rc<Cell<bool>>,
 }
 
 impl CheckedSocket {
-    /// A socket to an instance of which `takes_new_work` tells whether it may be sent any.
-    pub fn new(socket: TcpStream, takes_new_work: Rc<Cell<bool>>) -> Self {
+    /// Wraps a socket to an instance; `accepts_work` tells at any time whether the instance may be sent new
+    /// work.
+    pub fn new(socket: TcpStream, accepts_work: Rc<Cell<bool>>) -> Self {
         CheckedSocket {
             socket: Uninterrupted(socket),
-            mark: WriteStatus::default(),
+            status: WriteStatus::default(),
             check: Rc::default(),
-            takes_new_work,
+            accepts_work,
         }
     }
 
-    /// What the next request is written through.
+    /// Returns the slot through which the connection's requests are prepared.
     pub fn request_slot(&self) -> RequestSlot {
-        RequestSlot { mark: self.mark.clone(), check: self.check.clone() }
+        RequestSlot { status: self.status.clone(), check: self.check.clone() }
     }
 
-    fn pass(&self) -> io::Result<()> {
-        let why = match self.check.take() {
+    /// Runs the pending check once, before the first byte of a request; fails if the request must not be
+    /// sent.
+    fn run_check(&self) -> io::Result<()> {
+        let reason = match self.check.take() {
             SendCheck::Unchecked => return Ok(()),
-            _ if !self.takes_new_work.get() => NotSentReason::Drains,
-            SendCheck::Attempt { wanted, .. } if !wanted.holds() => NotSentReason::ClientGone,
-            SendCheck::Attempt { until, .. } if Instant::now() >= until => NotSentReason::TooLate,
+            _ if !self.accepts_work.get() => NotSentReason::Draining,
+            SendCheck::Attempt { client, .. } if !client.holds() => NotSentReason::ClientGone,
+            SendCheck::Attempt { deadline, .. } if Instant::now() >= deadline => {
+                NotSentReason::DeadlinePassed
+            }
             SendCheck::Attempt { .. } | SendCheck::Probe => return Ok(()),
         };
-        self.mark.0.set(Written::Stopped(why));
-        Err(io::Error::other(why))
+        self.status.0.set(WriteProgress::Stopped(reason));
+        Err(io::Error::other(reason))
     }
 }
 
-/// A connection's way to check and mark its next request.
+/// Sets the check and the write status of a connection's next request.
 pub struct RequestSlot {
-    mark: WriteStatus,
+    status: WriteStatus,
     check: Rc<RefCell<SendCheck>>,
 }
 
 impl RequestSlot {
-    /// A body for the next request, and the mark that tells when it is written.
+    /// Creates the body of the next request and its write status.
     pub fn request_body(&self, data: Bytes, check: SendCheck) -> (RequestBody, WriteStatus) {
-        self.mark.0.set(Written::No);
+        self.status.0.set(WriteProgress::Incomplete);
         self.check.replace(check);
         (
-            RequestBody { data: Some(data).filter(|d| !d.is_empty()), mark: self.mark.clone() },
-            self.mark.clone(),
+            RequestBody { data: Some(data).filter(|data| !data.is_empty()), status: self.status.clone() },
+            self.status.clone(),
         )
     }
 }
@@ -169,14 +176,14 @@
 
 impl AsyncWrite for CheckedSocket {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
-        self.pass()?;
+        self.run_check()?;
         Pin::new(&mut self.socket).poll_write(cx, data)
     }
 
     fn poll_write_vectored(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.pass()?;
+        self.run_check()?;
         Pin::new(&mut self.socket).poll_write_vectored(cx, data)
     }
 
@@ -186,8 +193,8 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let flushed = Pin::new(&mut self.socket).poll_flush(cx);
-        if matches!(flushed, Poll::Ready(Ok(()))) && self.mark.0.get() == Written::Handed {
-            self.mark.0.set(Written::Yes);
+        if matches!(flushed, Poll::Ready(Ok(()))) && self.status.0.get() == WriteProgress::Buffered {
+            self.status.0.set(WriteProgress::Flushed);
         }
         flushed
     }
