--- a/src/node/list/fleet.rs
+++ b/src/node/list/fleet.rs
@@ -23,8 +23,8 @@
 }
 
 impl HostNumbers {
-    /// Returns the number of an id, and assigns one if it has none. The number is a hash of the id, so that all conductors use the
-    /// same one whatever the order of the list.
+    /// Returns the number of an id, and assigns one if it has none. The number is a hash of the id, so that all conductors use
+    /// the same one whatever the order of the list.
     fn assign(&mut self, id: &str) -> HostId {
         if let Some(&host) = self.hosts.get(id) {
             return host;
--- a/src/node/list/pace.rs
+++ b/src/node/list/pace.rs
@@ -34,9 +34,9 @@
 const LONG_CALL_EVERY: u32 = 8;
 /// Shortest interval between calls with the long timeout, which bounds the number of them that are open at once.
 const MIN_LONG_CALL_INTERVAL: Duration = Duration::from_millis(500);
-/// Delay after the first refused call to a shared service, per conductor that may have been refused at the same time. Like every
-/// later delay it grows to at most [`MAX_CALL_GAP`].
-const REFUSED_DELAY_PER_CONDUCTOR: Duration = Duration::from_millis(50);
+/// Upper bound of the delay after the first failed call to a shared service, for each conductor whose call may have failed at the
+/// same time. The product is limited to [`MAX_CALL_GAP`], as all later delays are.
+const FAILED_CALL_DELAY_PER_CONDUCTOR: Duration = Duration::from_millis(50);
 
 /// Why discovery has to be called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -77,7 +77,7 @@
         let grace = span(settings.rules.drain_grace);
         let agent_step = (!settings.ask_for_list)
             .then(|| (grace / STEPS_PER_GRACE).clamp(AGENT_STEP_RANGE.0, AGENT_STEP_RANGE.1));
-        let initial_delay = REFUSED_DELAY_PER_CONDUCTOR
+        let initial_delay = FAILED_CALL_DELAY_PER_CONDUCTOR
             .saturating_mul(settings.routers)
             .clamp(AGENT_STEP_RANGE.1, MAX_CALL_GAP);
         // An agent that refuses a call is called again within the grace, as no other conductor competes for it.
--- a/src/node/list/start_times.rs
+++ b/src/node/list/start_times.rs
@@ -68,9 +68,9 @@
         self.offsets.truncate(MAX_OFFSETS);
     }
 
-    /// Returns when an instance started whose start is reported as this Unix time in milliseconds, or none for 0, which means long
-    /// ago. If several offsets may apply, the latest start not after `now` is taken: a cold instance must not be taken for a warm
-    /// one.
+    /// Converts the start of an instance, reported in Unix milliseconds, to the monotonic clock. Returns none for 0, which means
+    /// long ago. If several offsets may apply, the latest start not after `now` is taken: a cold instance must not be taken for a
+    /// warm one.
     pub fn start_time(&mut self, now: Micros, id: &str, reported_ms: i64) -> Option<Micros> {
         if reported_ms <= 0 {
             self.starts.remove(id);
--- a/src/node/list/targets.rs
+++ b/src/node/list/targets.rs
@@ -205,7 +205,7 @@
                 _ => is_closed = byte == b'}',
             }
         }
-        // A complete line that closes no object belongs to an indented list only if the buffer starts with one.
+        // A complete line that closes no object belongs to an indented list only if the buffer starts with an object.
         let is_invalid_line = self.buffer.contains(&b'\n') && self.buffer.first() != Some(&b'{');
         if !is_invalid_line {
             self.scanned_bytes = self.buffer.len();
