--- a/src/main.rs
+++ b/src/main.rs
@@ -36,10 +36,10 @@
 use croftsill::node::process::start::{Given, become_ready};
 use croftsill::node::process::succession::{self, Estate, Inherited, Link, Partners};
 #[cfg(feature = "cluster")]
-use croftsill::node::shared::Shared;
+use croftsill::node::shared::SharedState;
 use croftsill::node::upstream::attempt::{Dialect, Upstream};
 use croftsill::node::upstream::pool::{Pool, Site};
-use croftsill::node::{Clock, Core, tend_fleet};
+use croftsill::node::{Clock, Core, run_fleet_commands};
 #[cfg(feature = "cluster")]
 use croftsill::peers::roster::Roster;
 use tokio::net::{TcpListener, TcpSocket};
@@ -129,7 +129,7 @@
 /// Tells a planner of the shutdown, and when it is time to move streams.
 async fn follow_shutdown(planner: Planner, shutdown: Shutdown, clock: Clock) {
     let schedule = shutdown.begun().await;
-    planner.shut_down(clock.at(schedule.answers_until));
+    planner.begin_shutdown(clock.micros_at(schedule.answers_until));
     sleep_until(schedule.streams_move_at).await;
     // A newer process serves at the same address until the very end and after it.
     if shutdown.readiness().accepts() {
@@ -154,7 +154,7 @@
 fn join_peers(
     file: Option<&Path>, config: &Platform, clock: Clock, counters: &Rc<Counters>,
 ) -> Result<(Rc<PolicyGate>, Option<Peers>), StartError> {
-    let Some(file) = file else { return Ok((PolicyGate::open(), None)) };
+    let Some(file) = file else { return Ok((PolicyGate::always_open(), None)) };
     let roster = Roster::read(file, &config.name)?;
     tracing::info!("peers: {} of {}, listens on {}", config.name, roster.cluster, roster.me.address);
     let (settings, names) = (config.settings.clone(), config.names.clone());
@@ -166,9 +166,9 @@
 #[cfg(feature = "cluster")]
 fn share(
     peers: Option<Peers>, fleet: &Rc<Fleet>, (me, clock): (String, Clock), shutdown: &Shutdown,
-) -> Option<Rc<Shared>> {
+) -> Option<Rc<SharedState>> {
     let (handle, news) = peers?;
-    let shared = Shared::new(handle, fleet.clone(), clock);
+    let shared = SharedState::new(handle, fleet.clone(), clock);
     let shutdown = shutdown.clone();
     let drain = move |drained| shutdown.note(if drained { Happening::Drain } else { Happening::Undrain });
     spawn_local(shared.clone().run(me, news, drain));
@@ -186,13 +186,13 @@
     let Beginning { inherited, listener, link, meeting } = Beginning::find(&config, &hello, alone).await?;
     let listener = Rc::new(listener);
     // What the older process learnt goes by its clock.
-    let clock = inherited.as_ref().and_then(|state| state.now).map_or(clock, Clock::going_on_from);
+    let clock = inherited.as_ref().and_then(|state| state.now).map_or(clock, Clock::continuing_from);
     #[cfg(feature = "cluster")]
     let (policy_gate, peers) = join_peers(words.cluster.as_deref(), &config, clock, &counters)?;
     #[cfg(feature = "cluster")]
     let conductors = peers.as_ref().map(|(handle, _)| handle.clone());
     #[cfg(not(feature = "cluster"))]
-    let policy_gate = PolicyGate::open();
+    let policy_gate = PolicyGate::always_open();
     let settings = handover::digest(&config.settings);
     let same = inherited.as_ref().filter(|state| state.settings == settings);
     let learnt = same.map(|state| state.learnt.clone());
@@ -222,16 +222,16 @@
     let orders = match shared {
         #[cfg(feature = "cluster")]
         Some(ref shared) => {
-            spawn_local(shared.clone().tend(core.clone(), orders));
+            spawn_local(shared.clone().run_fleet_commands(core.clone(), orders));
             None
         }
         _ => Some(orders),
     };
-    orders.map(|orders| spawn_local(tend_fleet(core.clone(), orders)));
+    orders.map(|orders| spawn_local(run_fleet_commands(core.clone(), orders)));
     let caught_up = async move {
         #[cfg(feature = "cluster")]
         if let Some(shared) = shared {
-            shared.caught_up().await;
+            shared.wait_until_caught_up().await;
         }
         #[cfg(not(feature = "cluster"))]
         let _ = shared;
@@ -239,7 +239,7 @@
     spawn_local(become_ready(heard, given, policy_gate.clone(), caught_up, shutdown.clone()));
     spawn_local(follow_shutdown(core.planner.clone(), shutdown.clone(), clock));
     let intake = Intake::new(config.intake, config.body_bytes, counters.clone());
-    spawn_local(policy_gate.limit(intake.clone(), pool));
+    spawn_local(policy_gate.apply_connection_limits(intake.clone(), pool));
     let front = PlatformFront::new(core, config.names, intake.clone(), shutdown.clone());
     let partners = Partners::default();
     if let Some(place) = config.operator {
@@ -295,8 +295,8 @@
     let (planner, orders) = Planner::start(config.settings.clone(), seed, clock, None);
     let dialect = Dialect::Chat(std::mem::take(&mut config.server_headers));
     let upstream = Rc::new(Upstream::new(pool.clone(), dialect, counters.clone()));
-    let core = Core { planner, upstream, counters: counters.clone(), policy_gate: PolicyGate::open() };
-    spawn_local(tend_fleet(core.clone(), orders));
+    let core = Core { planner, upstream, counters: counters.clone(), policy_gate: PolicyGate::always_open() };
+    spawn_local(run_fleet_commands(core.clone(), orders));
     spawn_local(follow_shutdown(core.planner.clone(), shutdown.clone(), clock));
     let tidied = pool.clone();
     spawn_local(async move { tidied.tidy().await });
@@ -307,7 +307,7 @@
         pool.place(host, Some(Site { name, addr: *addr, role: Role::Both, ready: true }));
         members.push(Member { host, ..Member::default() });
     }
-    core.planner.hosts(true, members);
+    core.planner.update_hosts(true, members);
     let (listen, tls) = (config.listen, config.tls.take());
     let intake = Intake::new(config.intake, config.body_bytes, counters.clone());
     let front = ChatFront::new(core, Rc::new(config), intake.clone(), shutdown.clone(), seed);
@@ -371,7 +371,7 @@
     }
     shutdown.run(end_signals).await;
     for (front, counters) in counted {
-        tracing::info!("counters of {front}: {}", counters.line());
+        tracing::info!("counters of {front}: {}", counters.to_json_line());
     }
     Ok(())
 }
--- a/src/node/counters.rs
+++ b/src/node/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of what is taken in, sent and answered.
+//! Counters of the requests, attempts, connections and operator calls that a process handles.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -7,15 +7,15 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
-        /// Counts since the start of the process.
+        /// Counters since the start of the process.
         #[derive(Debug, Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: Cell<u64>,)*
         }
 
         impl Counters {
-            /// All counts by name.
-            pub fn all(&self) -> BTreeMap<&'static str, u64> {
+            /// Returns the value of each counter by its name.
+            pub fn values_by_name(&self) -> BTreeMap<&'static str, u64> {
                 BTreeMap::from([$((stringify!($name), self.$name.get())),*])
             }
         }
@@ -23,120 +23,120 @@
 }
 
 counters! {
-    /// Requests taken in.
+    /// Requests accepted.
     taken,
-    /// Requests turned down for their form with a 4xx, never taken in.
+    /// Malformed requests answered with a 4xx status and never accepted.
     malformed,
-    /// Requests refused at intake because the conductor was full, never taken in.
+    /// Requests rejected at intake because the conductor was full, and never accepted.
     shed,
-    /// Clients' connections without a request closed to make room.
+    /// Client connections without a request that were closed to make room for others.
     evicted,
-    /// The same amid a request that had stopped arriving.
+    /// Client connections that were closed to make room while a partly received request had stalled.
     evicted_begun,
-    /// Final answers: a whole stream.
+    /// Requests answered with a complete stream.
     served,
-    /// Final answers: a stream that broke after its first event.
+    /// Requests answered with a stream that broke after its first event.
     broken,
-    /// Final answers: the module's refusal.
+    /// Requests rejected by the decision module.
     refused,
-    /// Final answers: failed.
+    /// Requests answered as failed.
     failed,
-    /// Failed because no decision came by the deadline.
+    /// Requests for which the planner made no decision by the deadline.
     overdue,
-    /// Clients that went away first.
+    /// Requests whose client disconnected before its final answer was complete.
     left,
-    /// Requests that waited at the gate while a policy change came into force.
+    /// Requests that waited at the policy gate while a policy change took effect.
     held_at_door,
-    /// Requests refused at the gate: this process may not take any in.
+    /// Requests rejected at the policy gate because this process may not accept any.
     turned_away,
-    /// The revision of the policy under which requests are taken in.
+    /// Revision of the policy under which requests are accepted.
     revision,
-    /// Reports on instances heard from other conductors.
+    /// Reports on instances received from other conductors.
     reports_heard,
-    /// Probes left to the conductor whose duty they are.
+    /// Probes skipped because another conductor is responsible for them.
     probes_left,
-    /// Named requests that were known to run or to have run, and were not sent.
+    /// Requests with an idempotency key that were not sent, because they were known to be running or to have run.
     known_named,
     /// Attempts sent to instances.
     attempts,
-    /// Attempts that ended with a whole stream.
+    /// Attempts that ended with a complete stream.
     attempts_served,
-    /// Attempts that read a prompt.
+    /// Attempts that completed the prefill of a prompt.
     attempts_read,
-    /// Attempts turned away by a full or draining instance.
+    /// Attempts rejected by a full or draining instance.
     attempts_full,
-    /// Attempts turned away because no state was there to fetch.
+    /// Attempts rejected because there was no cached state to fetch.
     attempts_no_state,
     /// Attempts answered with an error.
     attempts_error,
-    /// Attempts given up for time.
+    /// Attempts abandoned at their timeout.
     attempts_timed_out,
-    /// Attempts whose connection could not be used.
+    /// Attempts whose instance could not be reached.
     attempts_unreachable,
     /// Attempts whose connection broke.
     attempts_broken,
-    /// Attempts whose answer could not be read.
+    /// Attempts whose answer could not be parsed.
     attempts_spoilt,
-    /// Attempts withdrawn.
+    /// Attempts cancelled.
     attempts_cancelled,
-    /// Attempts ordered but never sent.
+    /// Attempts that the planner asked for and that were never sent.
     attempts_moot,
-    /// Releases that reached an instance.
+    /// Releases that an instance confirmed.
     releases,
-    /// Releases asked for by the module.
+    /// Releases that the decision module asked for.
     releases_ordered,
-    /// Releases because an attempt ended without a word of its instance.
+    /// Releases made because an attempt ended without an answer from its instance.
     releases_no_answer,
-    /// Releases because what may be held had been so for most of the time that it may.
+    /// Releases made because a state may have been held for most of its pin limit.
     releases_unanswered,
-    /// Releases because the request was over.
+    /// Releases made because the request had ended.
     releases_request_over,
-    /// Times that an instance was asked to take a release.
+    /// Calls that asked an instance to release a state.
     release_calls,
-    /// Releases that no instance took in time.
+    /// Releases that no instance confirmed in time.
     releases_lost,
     /// Connections opened to instances.
     connects,
-    /// Connections to instances used again.
+    /// Kept connections to instances that were reused.
     reuses,
     /// Probes sent.
     probes,
-    /// Times that the watch on discovery was opened.
+    /// Watches opened on discovery.
     watches,
-    /// Lists and changes heard from discovery.
+    /// Lists and changes received from discovery.
     lists,
-    /// Attempts and probes not begun: their instance drained since it was chosen.
+    /// Attempts stopped by the check before their first byte: the instance drains, the client has left, or time is up.
     held_back,
     /// Instances taken out for maintenance by operators.
     bans,
-    /// Instances back from maintenance.
+    /// Instances returned from maintenance by operators.
     bans_lifted,
-    /// Drains told by operators.
+    /// Drains requested by operators.
     drains,
-    /// Operators' calls answered with yes.
+    /// Operator calls that succeeded.
     calls,
-    /// Operators' calls answered with no.
+    /// Operator calls that were rejected.
     calls_refused,
-    /// Callers at the operator's front that brought no whole call.
+    /// Connections to the operator front that did not send a complete call.
     calls_unfinished,
-    /// Times that all was handed over to a newer process.
+    /// Handovers to a newer process.
     handed_over,
-    /// Whether this process took over from an older one.
+    /// 1 if this process took over from an older one, 0 otherwise.
     inherited,
-    /// Replaced configurations taken in.
+    /// Configuration reloads that were applied.
     reloads,
-    /// Replaced configurations that could not be used.
+    /// Configuration reloads that failed.
     reloads_failed,
 }
 
-/// Adds one.
+/// Increments a counter by one.
 pub fn add(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
 impl Counters {
-    /// Counts how an attempt ended.
-    pub fn attempt_ended(&self, outcome: Outcome) {
+    /// Counts an ended attempt by its outcome.
+    pub fn count_attempt_end(&self, outcome: Outcome) {
         add(match outcome {
             Outcome::Served => &self.attempts_served,
             Outcome::Read => &self.attempts_read,
@@ -152,8 +152,8 @@
         });
     }
 
-    /// All counts as one line of JSON.
-    pub fn line(&self) -> String {
-        serde_json::to_string(&self.all()).unwrap_or_default()
+    /// Returns all counters as one line of JSON.
+    pub fn to_json_line(&self) -> String {
+        serde_json::to_string(&self.values_by_name()).unwrap_or_default()
     }
 }
--- a/src/node/front/chat.rs
+++ b/src/node/front/chat.rs
@@ -31,7 +31,7 @@
 use crate::node::process::shutdown::Shutdown;
 use crate::node::request::Answer;
 #[cfg(feature = "cluster")]
-use crate::node::span;
+use crate::node::to_duration;
 use crate::node::upstream::attempt::Payload;
 #[cfg(feature = "cluster")]
 use crate::replica::idempotency::{Decision, NAME_MOST, Name, Stage};
@@ -229,7 +229,7 @@
         let claimed = tokio::select! {
             biased;
             claimed = handle.claim(name) => claimed,
-            () = sleep(span(ask.time_left)) => Err(Decision::Refuse),
+            () = sleep(to_duration(ask.time_left)) => Err(Decision::Refuse),
             () = self.shutdown.due(|schedule| schedule.answers_until) => Err(Decision::Refuse),
         };
         match claimed {
@@ -276,7 +276,7 @@
                 Ok(object(StatusCode::OK, &json!({"object": "list", "data": models})))
             }
             (&Method::GET, "/-/ready") => Ok(whole(StatusCode::OK, None, "ready\n".into())),
-            (&Method::GET, "/-/counters") => Ok(object(StatusCode::OK, &self.core.counters.all())),
+            (&Method::GET, "/-/counters") => Ok(object(StatusCode::OK, &self.core.counters.values_by_name())),
             (_, "/v1/models" | "/-/ready" | "/-/counters") => Err(Fault::Method("GET")),
             (_, path) => Err(Fault::Path(path.to_owned())),
         }
@@ -331,7 +331,7 @@
                 Ok(text) => whole(form.status, form.content_type, text),
                 Err(_) => Fault::Failed.reply(),
             },
-            Answer::Refused { come_back } => Fault::Refused(come_back).reply(),
+            Answer::Refused { retry_after } => Fault::Refused(retry_after).reply(),
             Answer::Failed => Fault::Failed.reply(),
         };
         shown.map(|id| reply.headers_mut().insert(REQUEST_ID, id));
--- a/src/node/front/chat/tests.rs
+++ b/src/node/front/chat/tests.rs
@@ -22,7 +22,7 @@
     let (planner, _orders) = Planner::start(chat.settings.clone(), 1, Clock::start(), None);
     let pool = Rc::new(Pool::new(chat.pool.clone(), counters.clone()));
     let upstream = Rc::new(Upstream::new(pool, Dialect::Chat(HeaderMap::new()), counters.clone()));
-    let core = Core { planner, upstream, counters: counters.clone(), policy_gate: PolicyGate::open() };
+    let core = Core { planner, upstream, counters: counters.clone(), policy_gate: PolicyGate::always_open() };
     let intake = Intake::new(chat.intake, chat.body_bytes, counters);
     let (handle, calls, updates) = handle_and_updates();
     // Held up, not ended.
--- a/src/node/front/mod.rs
+++ b/src/node/front/mod.rs
@@ -30,12 +30,12 @@
 
 use super::Core;
 use super::counters::add;
-use super::request::{Answer, Caller, Given, live};
+use super::request::{Answer, FinalAnswer, Responder, handle_request};
 use crate::api::NewRequest;
 use crate::node::process::readiness::Readiness;
 use crate::node::process::schedule::FIRST_REQUEST_TIME;
 use crate::node::process::shutdown::{Pending, Shutdown};
-use crate::node::uninterrupted::Uninterrupted;
+use crate::node::uninterrupted::RetryInterrupted;
 use crate::node::upstream::attempt::Payload;
 use crate::node::upstream::events::{Piece, StreamBroken};
 use accept::Acceptor;
@@ -102,18 +102,18 @@
 /// shutdown a request that comes too late is refused and nothing is sent for it.
 pub async fn begin<K: 'static>(
     core: &Core, shutdown: &Shutdown, ask: NewRequest, payload: (Payload, BodyPermit), keep: K,
-) -> Given {
+) -> FinalAnswer {
     if !shutdown.takes(&ask) {
         add(&core.counters.shed);
-        return Given { answer: Answer::Refused { come_back: None }, revision: None };
+        return FinalAnswer { answer: Answer::Refused { retry_after: None }, revision: None };
     }
-    let (caller, answer) = Caller::new(payload.0.id.clone());
+    let (caller, answer) = Responder::new(payload.0.id.clone());
     let (core, pending) = (core.clone(), shutdown.pending());
     spawn_local(async move {
-        live(core, ask, payload, caller).await;
+        handle_request(core, ask, payload, caller).await;
         drop((keep, pending));
     });
-    answer.await.unwrap_or(Given { answer: Answer::Failed, revision: None })
+    answer.await.unwrap_or(FinalAnswer { answer: Answer::Failed, revision: None })
 }
 
 /// Serves connections until the process ends and nothing arrives any more. With `tls` each client must prove its
@@ -129,7 +129,7 @@
     let mut acceptor = Acceptor::new(listener, intake.clone(), shutdown.clone());
     while let Some(socket) = acceptor.next().await {
         let _ = socket.set_nodelay(true);
-        let socket = Uninterrupted(socket);
+        let socket = RetryInterrupted(socket);
         let (place, pending) = (intake.enter(), shutdown.pending());
         match &tls {
             None => drop(spawn_local(connection(
--- a/src/node/front/platform.rs
+++ b/src/node/front/platform.rs
@@ -23,7 +23,7 @@
 use crate::node::Core;
 use crate::node::counters::add;
 use crate::node::process::shutdown::Shutdown;
-use crate::node::request::{Answer, Given};
+use crate::node::request::{Answer, FinalAnswer};
 use crate::node::upstream::attempt::Payload;
 use crate::node::upstream::headers::end_to_end;
 use crate::wire::Names;
@@ -146,20 +146,20 @@
                 }
             },
             (&Method::GET, "/-/ready")
-                if self.shutdown.readiness().ready() && !self.core.policy_gate.shut() =>
+                if self.shutdown.readiness().ready() && !self.core.policy_gate.is_closed() =>
             {
                 plain(StatusCode::OK, "ready\n")
             }
             (&Method::GET, "/-/ready") => {
                 let drained = self.shutdown.readiness().drained();
-                let why = match (drained, self.core.policy_gate.shut()) {
+                let why = match (drained, self.core.policy_gate.is_closed()) {
                     (true, _) => "drained by operators\n",
                     (_, true) => "not known to the other conductors, or cut off from them\n",
                     _ => "no list of instances yet\n",
                 };
                 plain(StatusCode::SERVICE_UNAVAILABLE, why)
             }
-            (&Method::GET, "/-/counters") => plain(StatusCode::OK, self.core.counters.line() + "\n"),
+            (&Method::GET, "/-/counters") => plain(StatusCode::OK, self.core.counters.to_json_line() + "\n"),
             (_, "/-/ready" | "/-/counters") => {
                 plain(StatusCode::METHOD_NOT_ALLOWED, format!("{}\n", Malformed::Method("GET")))
             }
@@ -200,11 +200,11 @@
         ask.time_left -= arrived.elapsed().as_micros() as Micros + on_the_way;
         let target = request.uri().path_and_query().cloned().ok_or(Malformed::Path)?;
         let payload = Payload { id, target, headers: end_to_end(request.headers()), body };
-        let Given { answer, revision } =
+        let FinalAnswer { answer, revision } =
             begin(&self.core, &self.shutdown, ask, (payload, permit), open).await;
         let mut reply = match answer {
             Answer::Events { form, pieces } => stream(form.content_type, pieces),
-            Answer::Refused { come_back } => refusal(come_back),
+            Answer::Refused { retry_after } => refusal(retry_after),
             Answer::Failed => plain(StatusCode::BAD_GATEWAY, "the request failed and may have run\n"),
         };
         revision.map(|revision| reply.headers_mut().insert(REVISION, HeaderValue::from(revision)));
--- a/src/node/list/discovery.rs
+++ b/src/node/list/discovery.rs
@@ -20,7 +20,7 @@
 use super::pace::{CallTimeouts, Cause, Pace};
 use super::targets::{Faults, MOST, Reader, Unreadable};
 use crate::node::counters::add;
-use crate::node::uninterrupted::Uninterrupted;
+use crate::node::uninterrupted::RetryInterrupted;
 
 /// Why discovery is not heard.
 #[derive(Debug, thiserror::Error)]
@@ -186,7 +186,7 @@
                 tracing::warn!(
                     "discovery: watch lost, {fault}; list {version} holds, asking again in {wait} ms"
                 );
-                self.fleet.core().planner.hosts_failed();
+                self.fleet.core().planner.host_list_failed();
                 self.unheard = Some(now);
             }
         }
@@ -283,7 +283,7 @@
 async fn get(addr: SocketAddr, path: &str, within: Duration) -> Result<Incoming, WatchError> {
     let exchange = async {
         let socket = TcpStream::connect(addr).await.map_err(WatchError::Connect)?;
-        let (mut sender, connection) = http1::handshake(TokioIo::new(Uninterrupted(socket))).await?;
+        let (mut sender, connection) = http1::handshake(TokioIo::new(RetryInterrupted(socket))).await?;
         // It ends with the answer's body, or when that is dropped.
         tokio::task::spawn_local(connection);
         let request = Request::get(path).header("host", addr.to_string()).body(Empty::<Bytes>::new());
--- a/src/node/list/fleet.rs
+++ b/src/node/list/fleet.rs
@@ -109,7 +109,7 @@
             self.tell(false, std::slice::from_ref(&target));
             self.forget_connections(id);
         }
-        self.core.planner.settled().await;
+        self.core.planner.flush().await;
         Ok(())
     }
 
@@ -123,7 +123,7 @@
             self.starts.borrow_mut().restarted(self.clock.now(), id, target.started_ms);
             self.tell(false, std::slice::from_ref(&target));
         }
-        self.core.planner.settled().await;
+        self.core.planner.flush().await;
         Ok(())
     }
 
@@ -154,7 +154,7 @@
 
     fn tell(&self, whole: bool, targets: &[Target]) {
         let pool = self.core.upstream.pool();
-        let (mut starts, reading) = (self.starts.borrow_mut(), self.clock.read());
+        let (mut starts, reading) = (self.starts.borrow_mut(), self.clock.read_both());
         starts.read(reading);
         let mut members = Vec::new();
         for target in targets {
@@ -209,6 +209,6 @@
             self.ids.borrow_mut().retain(named);
             starts.retain(|id| self.ids.borrow().numbers.contains_key(id));
         }
-        self.core.planner.hosts(whole, members);
+        self.core.planner.update_hosts(whole, members);
     }
 }
--- a/src/node/list/pace.rs
+++ b/src/node/list/pace.rs
@@ -7,7 +7,7 @@
 
 use super::backoff::Backoff;
 use crate::api::Settings;
-use crate::node::span;
+use crate::node::to_duration;
 
 /// While nothing changes, a watch brings an empty line this often.
 pub const LINE_EVERY: Duration = Duration::from_secs(2);
@@ -72,7 +72,7 @@
 impl Pace {
     /// The waits that these settings ask for.
     pub fn new(settings: &Settings, seed: u64) -> Self {
-        let grace = span(settings.rules.drain_grace);
+        let grace = to_duration(settings.rules.drain_grace);
         let step = (!settings.ask_for_list).then(|| (grace / STEPS).clamp(STEP.0, STEP.1));
         let first = REFUSED_EACH.saturating_mul(settings.routers).clamp(STEP.1, ASK_WITHIN);
         // An agent that turns a call away is asked again within the grace: nobody else is in its way.
--- a/src/node/log_sampler.rs
+++ b/src/node/log_sampler.rs
@@ -1,30 +1,31 @@
-//! Lets one event of a kind into the log each second, with the number of those left out.
+//! Rate limit for repeated log events: one event of a kind is logged each second, with the number of those suppressed
+//! since the previous one.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Between two events of a kind.
-const EVERY: Duration = Duration::from_secs(1);
+/// Least time between two logged events of a kind.
+const MIN_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Decides which events of one kind are logged.
 #[derive(Debug, Default)]
 pub struct LogSampler {
-    last: Cell<Option<Instant>>,
-    left_out: Cell<u64>,
+    last_logged_at: Cell<Option<Instant>>,
+    suppressed: Cell<u64>,
 }
 
 impl LogSampler {
-    /// Whether an event is logged now: then how many were left out since the last one that was.
+    /// Decides whether an event that happens now is logged. If so, returns how many were suppressed since the last logged one.
     pub fn sample(&self) -> Option<u64> {
         let now = Instant::now();
-        if self.last.get().is_some_and(|last| now < last + EVERY) {
-            self.left_out.set(self.left_out.get() + 1);
+        if self.last_logged_at.get().is_some_and(|last_logged_at| now < last_logged_at + MIN_LOG_INTERVAL) {
+            self.suppressed.set(self.suppressed.get() + 1);
             return None;
         }
-        self.last.set(Some(now));
-        Some(self.left_out.take())
+        self.last_logged_at.set(Some(now));
+        Some(self.suppressed.take())
     }
 }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,8 +1,9 @@
-//! The real conductor: fronts take requests in, one task lives each request, planners decide.
+//! The network side of a conductor: its fronts accept requests, each request has a task of its own, and a planner decides
+//! for all of them.
 //!
-//! A request passes through the modules in this order: a [`front`] reads and checks it, its task in
-//! [`request`] asks a [`planner`] what to do, and [`upstream`] plays its exchanges with instances. Beside that stand
-//! the fleet's [`list`] and the life of the [`process`] itself.
+//! A request passes through the modules in this order: a [`front`] reads and checks it, its task in [`request`] gets its
+//! commands from a [`planner`], and [`upstream`] carries out its exchanges with instances. The [`list`] of the fleet's
+//! instances and the life cycle of the [`process`] are kept beside that.
 
 pub mod counters;
 pub mod front;
@@ -25,100 +26,103 @@
 use crate::api::{HostId, Micros};
 use list::start_times::ClockReading;
 
-/// Two clocks are read together within this, in microseconds...
-const READ_WITHIN: Micros = 1_000;
-/// ...or after so many tries.
-const READ_TRIES: u32 = 5;
+/// Longest time that reading both clocks may take for the two values to count as simultaneous, in microseconds.
+const MAX_CLOCK_READ_US: Micros = 1_000;
+/// Number of attempts to read both clocks; the result of the last one is used however long it took.
+const MAX_CLOCK_READ_ATTEMPTS: u32 = 5;
 
-/// The module's clock. It begins at the Unix time in microseconds and goes on with the monotonic clock, whatever becomes of the
-/// wall clock.
+/// The clock of the decision module. It starts at the current Unix time in microseconds and advances with the monotonic
+/// clock, so steps of the wall clock do not affect it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    base: Micros,
-    start: Instant,
+    origin_us: Micros,
+    origin: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at the current Unix time.
     pub fn start() -> Self {
-        Self::going_on_from(unix_micros())
+        Self::continuing_from(unix_micros())
     }
 
-    /// A clock that shows this now, as another process's does.
-    pub fn going_on_from(now: Micros) -> Self {
-        Clock { base: now, start: Instant::now() }
+    /// Starts a clock that now shows the given time, such as that of another process's clock.
+    pub fn continuing_from(now: Micros) -> Self {
+        Clock { origin_us: now, origin: Instant::now() }
     }
 
-    /// The module's time.
+    /// Returns the current time of this clock in microseconds.
     pub fn now(&self) -> Micros {
-        self.base + self.start.elapsed().as_micros() as Micros
+        self.origin_us + self.origin.elapsed().as_micros() as Micros
     }
 
-    /// A moment on the module's clock.
-    pub fn at(&self, moment: Instant) -> Micros {
-        self.base + moment.saturating_duration_since(self.start).as_micros() as Micros
+    /// Converts an instant to microseconds on this clock.
+    pub fn micros_at(&self, instant: Instant) -> Micros {
+        self.origin_us + instant.saturating_duration_since(self.origin).as_micros() as Micros
     }
 
-    /// Unix time in milliseconds, as the wall clock has it in this moment.
+    /// Returns the current Unix time in milliseconds by the wall clock.
     pub fn unix_ms(&self) -> i64 {
-        self.read().unix / 1_000
+        self.read_both().unix / 1_000
     }
 
-    /// Both clocks in one moment: a reading within which the process did not run is made again.
-    pub fn read(&self) -> ClockReading {
-        let mut tries = 0;
+    /// Reads this clock and the wall clock together. The reading is repeated if it took so long that the process was
+    /// probably suspended in between.
+    pub fn read_both(&self) -> ClockReading {
+        let mut attempts = 0;
         loop {
             let reading = ClockReading { now: self.now(), unix: unix_micros() };
-            tries += 1;
-            if self.now() - reading.now < READ_WITHIN || tries == READ_TRIES {
+            attempts += 1;
+            if self.now() - reading.now < MAX_CLOCK_READ_US || attempts == MAX_CLOCK_READ_ATTEMPTS {
                 return reading;
             }
         }
     }
 }
 
-/// The wall clock, in microseconds of Unix time.
+/// Returns the Unix time in microseconds by the wall clock.
 fn unix_micros() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
 }
 
-/// A duration of the module as the timers take it; one below zero has run out.
-pub fn span(micros: Micros) -> Duration {
+/// Converts microseconds to a duration for timers; a negative value becomes zero.
+pub fn to_duration(micros: Micros) -> Duration {
     Duration::from_micros(u64::try_from(micros).unwrap_or(0))
 }
 
-/// One fleet with its planner: all that the requests of one front need.
+/// What the requests of one front need: a fleet, its planner, its counters and its policy gate.
 #[derive(Clone)]
 pub struct Core {
-    /// Decides.
+    /// Decides what happens to each request.
     pub planner: planner::Planner,
     /// Talks to the instances.
     pub upstream: Rc<upstream::attempt::Upstream>,
-    /// Counts.
+    /// The counters of the process.
     pub counters: Rc<counters::Counters>,
-    /// Takes requests in.
+    /// Admits requests under the policy in force.
     pub policy_gate: Rc<policy_gate::PolicyGate>,
 }
 
-/// Tells the log of an instance that fails again and again.
+/// Logs that an instance has failed several times in a row.
 pub fn log_suspect(core: &Core, host: HostId, failures: u32) {
     let instance = core.upstream.pool().name(host);
-    tracing::warn!(%instance, failures, "planner: fails again and again, single trials only");
+    tracing::warn!(%instance, failures, "planner: instance fails repeatedly; it gets one attempt at a time");
 }
 
-/// Carries out what a planner wants of the fleet as a whole.
-pub async fn tend_fleet(core: Core, mut orders: tokio::sync::mpsc::UnboundedReceiver<planner::FleetOrder>) {
-    while let Some(order) = orders.recv().await {
-        match order {
-            planner::FleetOrder::Close(host) => core.upstream.pool().close_idle(host),
-            // Nobody else is to know.
-            planner::FleetOrder::Failed(_) => {}
-            planner::FleetOrder::Suspect(host, failures) => log_suspect(&core, host, failures),
-            planner::FleetOrder::Probe(host) => {
+/// Carries out a planner's commands for the fleet as a whole, until the planner ends.
+pub async fn run_fleet_commands(
+    core: Core, mut commands: tokio::sync::mpsc::UnboundedReceiver<planner::FleetCommand>,
+) {
+    while let Some(command) = commands.recv().await {
+        match command {
+            planner::FleetCommand::CloseIdleConnections(host) => core.upstream.pool().close_idle(host),
+            // Without shared state there is no other conductor to report the failure to.
+            planner::FleetCommand::ReportFailure(_) => {}
+            planner::FleetCommand::ReportSuspect(host, failures) => log_suspect(&core, host, failures),
+            planner::FleetCommand::Probe(host) => {
                 let core = core.clone();
                 tokio::task::spawn_local(async move {
                     let (outcome, load) = core.upstream.probe(host).await;
-                    core.planner.probed(host, outcome, load);
+                    core.planner.probe_ended(host, outcome, load);
                 });
             }
         }
--- a/src/node/planner.rs
+++ b/src/node/planner.rs
@@ -1,4 +1,5 @@
-//! The planner: sole owner of a [`Router`]. Events go in, its actions go to the requests' tasks.
+//! The planner: the task that owns a [`Router`]. It feeds events to the router and passes the resulting actions on to the tasks
+//! of the requests and to the fleet.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -7,52 +8,55 @@
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
 
-use super::{Clock, span};
+use super::{Clock, to_duration};
 use crate::api::*;
 use crate::estimate::{FleetEstimates, SpeedCurve, Spending};
 use crate::logic::Router;
 
-/// What a planner wants of a request's task.
+/// Most inputs that the planner handles in one round.
+const MAX_BATCH_INPUTS: usize = 256;
+
+/// A command of the planner to the task of a request.
 #[derive(Debug, PartialEq)]
-pub enum Order {
-    /// Send it to a host; give the attempt up after this long.
+pub enum RequestCommand {
+    /// Send the request to a host, and give the attempt up after the given time.
     Send(HostId, Micros),
-    /// Withdraw an attempt.
+    /// Cancel an attempt.
     Cancel(AttemptId),
-    /// Final answer: refused, to come back after this long.
+    /// Give the final answer that the request is rejected, with the time after which the client should retry.
     Refuse(Option<Micros>),
-    /// Final answer: failed.
+    /// Give the final answer that the request failed.
     Fail,
-    /// Let go of all that is held for it.
+    /// Release all that hosts hold for the request.
     Release,
-    /// End its running stream, to be resumed elsewhere.
-    Move,
-    /// The planner knows that the client left and sends nothing more.
-    Parted,
+    /// End the running stream, to be resumed elsewhere.
+    MoveStream,
+    /// The planner has processed the departure of the client and sends no further commands.
+    ConfirmClientLeft,
 }
 
-/// What a planner wants of the fleet as a whole.
+/// A command of the planner that concerns the fleet and not a single request.
 #[derive(Debug)]
-pub enum FleetOrder {
-    /// Ask a host how it is.
+pub enum FleetCommand {
+    /// Ask a host for its load.
     Probe(HostId),
     /// Close idle connections to a host.
-    Close(HostId),
-    /// An attempt found a host unreachable or silent, or lost its connection.
-    Failed(HostId),
-    /// A host has failed so many times in a row.
-    Suspect(HostId, u32),
+    CloseIdleConnections(HostId),
+    /// Report that an attempt could not reach a host, timed out there or lost its connection.
+    ReportFailure(HostId),
+    /// Report that a host has failed this many times in a row.
+    ReportSuspect(HostId, u32),
 }
 
 enum Input {
-    Arrive(NewRequest, UnboundedSender<Order>),
-    Tell(Event),
-    Closed(RequestId),
-    Mark(oneshot::Sender<FleetEstimates>),
-    Adopt(Vec<SpeedCurve>, [f64; 4]),
+    NewRequest(NewRequest, UnboundedSender<RequestCommand>),
+    Event(Event),
+    RequestClosed(RequestId),
+    Flush(oneshot::Sender<FleetEstimates>),
+    AdoptEstimates(Vec<SpeedCurve>, [f64; 4]),
 }
 
-/// The forwarders' way to a planner.
+/// A handle to the task of a planner, for the forwarders.
 #[derive(Clone)]
 pub struct Planner {
     inputs: UnboundedSender<Input>,
@@ -60,234 +64,248 @@
 }
 
 impl Planner {
-    /// Starts a planner on the current local task set, with what one of the same settings has learnt before.
+    /// Starts a planner on the current local task set. `estimates` are those of an earlier planner with the same settings.
     pub fn start(
-        settings: Settings, seed: u64, clock: Clock, learnt: Option<FleetEstimates>,
-    ) -> (Self, UnboundedReceiver<FleetOrder>) {
+        settings: Settings, seed: u64, clock: Clock, estimates: Option<FleetEstimates>,
+    ) -> (Self, UnboundedReceiver<FleetCommand>) {
         let (inputs, inbox) = mpsc::unbounded_channel();
-        let (fleet, fleet_orders) = mpsc::unbounded_channel();
+        let (fleet_commands, command_receiver) = mpsc::unbounded_channel();
         let mut router = Router::new(settings, seed);
-        if let Some(learnt) = learnt {
-            router.fleet = learnt;
+        if let Some(estimates) = estimates {
+            router.fleet = estimates;
         }
-        let task = PlannerTask { router, clock, handles: HashMap::new(), inputs: inputs.clone(), fleet };
+        let task =
+            PlannerTask { router, clock, requests: HashMap::new(), inputs: inputs.clone(), fleet_commands };
         tokio::task::spawn_local(task.run(inbox));
-        (Planner { inputs, next_id: Rc::default() }, fleet_orders)
+        (Planner { inputs, next_id: Rc::default() }, command_receiver)
     }
 
-    /// Brings a new request; its id is given here.
-    pub fn arrive(&self, mut ask: NewRequest) -> RequestHandle {
+    /// Submits a new request, and assigns its id.
+    pub fn submit(&self, mut request: NewRequest) -> RequestHandle {
         let id = RequestId(self.next_id.get() + 1);
         self.next_id.set(id.0);
-        ask.id = id;
-        let (sender, orders) = mpsc::unbounded_channel();
-        self.put(Input::Arrive(ask, sender));
-        RequestHandle { id, planner: self.clone(), orders }
+        request.id = id;
+        let (sender, commands) = mpsc::unbounded_channel();
+        self.send(Input::NewRequest(request, sender));
+        RequestHandle { id, planner: self.clone(), commands }
     }
 
-    /// Tells the list of hosts, whole or only its changes.
-    pub fn hosts(&self, whole: bool, members: Vec<Member>) {
-        self.put(Input::Tell(Event::HostList { is_complete: whole, members }));
+    /// Updates the list of hosts: a complete list, or only the entries that changed.
+    pub fn update_hosts(&self, is_complete: bool, members: Vec<Member>) {
+        self.send(Input::Event(Event::HostList { is_complete, members }));
     }
 
-    /// Tells that following the list broke off.
-    pub fn hosts_failed(&self) {
-        self.put(Input::Tell(Event::HostListFailed));
+    /// Reports that the watch on the list of hosts failed.
+    pub fn host_list_failed(&self) {
+        self.send(Input::Event(Event::HostListFailed));
     }
 
-    /// Tells the settings by which requests are decided that are brought from now on.
-    pub fn policy(&self, settings: Settings) {
-        self.put(Input::Tell(Event::SettingsChanged(Rc::new(settings))));
+    /// Changes the settings for the requests that are submitted from now on.
+    pub fn change_settings(&self, settings: Settings) {
+        self.send(Input::Event(Event::SettingsChanged(Rc::new(settings))));
     }
 
-    /// Tells what all other conductors have spent lately.
-    pub fn others(&self, spent: Spending) {
-        self.put(Input::Tell(Event::PeerSpending(Rc::new(spent))));
+    /// Updates the recent spending of all other conductors.
+    pub fn update_peer_spending(&self, spending: Spending) {
+        self.send(Input::Event(Event::PeerSpending(Rc::new(spending))));
     }
 
-    /// Hands over what another has learnt; it counts where this one knows less.
-    pub fn adopt(&self, curves: Vec<SpeedCurve>, means: [f64; 4]) {
-        self.put(Input::Adopt(curves, means));
+    /// Adopts the estimates of another conductor where they rest on more evidence than this planner's own.
+    pub fn adopt_estimates(&self, curves: Vec<SpeedCurve>, means: [f64; 4]) {
+        self.send(Input::AdoptEstimates(curves, means));
     }
 
-    /// Tells how a probe ended.
-    pub fn probed(&self, host: HostId, outcome: Outcome, load: Option<Load>) {
-        self.put(Input::Tell(Event::ProbeEnded { host, outcome, load }));
+    /// Reports how a probe ended.
+    pub fn probe_ended(&self, host: HostId, outcome: Outcome, load: Option<Load>) {
+        self.send(Input::Event(Event::ProbeEnded { host, outcome, load }));
     }
 
-    /// Tells that the process has been told to end, and by when each request must be answered.
-    pub fn shut_down(&self, answers_until: Micros) {
-        self.put(Input::Tell(Event::Shutdown { answers_until }));
+    /// Announces the shutdown of the process, and the time by which each request must be answered.
+    pub fn begin_shutdown(&self, answers_until: Micros) {
+        self.send(Input::Event(Event::Shutdown { answers_until }));
     }
 
-    /// Tells that the process ends so soon that streams are to be moved.
+    /// Announces that the process ends so soon that running streams have to be moved.
     pub fn move_streams(&self) {
-        self.put(Input::Tell(Event::MoveStreams));
+        self.send(Input::Event(Event::MoveStreams));
     }
 
-    /// Waits until all that was told before is decided on, and gives what is known then of all hosts.
-    pub async fn settled(&self) -> FleetEstimates {
-        let (mark, reached) = oneshot::channel();
-        self.put(Input::Mark(mark));
-        reached.await.unwrap_or_default()
+    /// Waits until all earlier inputs have been processed, and returns the estimates of the fleet at that point.
+    pub async fn flush(&self) -> FleetEstimates {
+        let (sender, flushed) = oneshot::channel();
+        self.send(Input::Flush(sender));
+        flushed.await.unwrap_or_default()
     }
 
-    fn put(&self, input: Input) {
-        // A planner lives as long as the process; the send fails only while that ends.
+    fn send(&self, input: Input) {
+        // The planner's task runs as long as the process, so sending fails only while the process ends.
         let _ = self.inputs.send(input);
     }
 }
 
-/// How an attempt ended, for the planner.
+/// What an ended attempt has shown, beside its outcome.
 #[derive(Debug, Default)]
-pub struct End {
-    /// Prompt tokens found kept.
-    pub kept: f64,
-    /// Time since it was sent.
-    pub took: Micros,
-    /// The host's report, where one came along.
+pub struct AttemptReport {
+    /// Prompt tokens that the host found in its cache.
+    pub cached_tokens: f64,
+    /// Time since the attempt was sent.
+    pub elapsed: Micros,
+    /// The host's load report, where the answer carried one.
     pub load: Option<Load>,
 }
 
-/// A request's place at its planner, given back when dropped.
+/// A request's registration with its planner. Dropping it tells the planner that the request's task has ended.
 pub struct RequestHandle {
     id: RequestId,
     planner: Planner,
-    orders: UnboundedReceiver<Order>,
+    commands: UnboundedReceiver<RequestCommand>,
 }
 
 impl RequestHandle {
-    /// The next order; without a planner there is none, and the request has failed.
-    pub async fn next(&mut self) -> Order {
-        self.orders.recv().await.unwrap_or(Order::Fail)
+    /// Waits for the next command; if the planner has ended, the request has failed.
+    pub async fn next_command(&mut self) -> RequestCommand {
+        self.commands.recv().await.unwrap_or(RequestCommand::Fail)
     }
 
-    /// Its number in what the module is told and says.
+    /// Returns the number by which the router's events and actions name the request.
     pub fn number(&self) -> u64 {
         self.id.0
     }
 
-    /// Tells that an answer's first token is out.
-    pub fn began(&self, attempt: AttemptId, host: HostId, took: Micros) {
-        self.planner.put(Input::Tell(Event::FirstToken { request: self.id, attempt, host, elapsed: took }));
+    /// Reports the first token of an answer.
+    pub fn first_token(&self, attempt: AttemptId, host: HostId, elapsed: Micros) {
+        self.planner.send(Input::Event(Event::FirstToken { request: self.id, attempt, host, elapsed }));
     }
 
-    /// Tells how an attempt ended; `last` when the request has its final answer.
-    pub fn ended(&self, attempt: AttemptId, host: HostId, outcome: Outcome, last: bool, end: End) {
-        let End { kept, took, load } = end;
+    /// Reports how an attempt ended. `is_final` is set when the request has its final answer.
+    pub fn attempt_ended(
+        &self, attempt: AttemptId, host: HostId, outcome: Outcome, is_final: bool, report: AttemptReport,
+    ) {
+        let AttemptReport { cached_tokens, elapsed, load } = report;
         let event = Event::AttemptEnded {
             request: self.id,
             attempt,
             host,
             outcome,
-            is_final: last,
-            cached_tokens: kept,
-            elapsed: took,
+            is_final,
+            cached_tokens,
+            elapsed,
             load,
         };
-        self.planner.put(Input::Tell(event));
+        self.planner.send(Input::Event(event));
     }
 
-    /// Tells that the client left; [`Order::Parted`] follows.
-    pub fn left(&self) {
-        self.planner.put(Input::Tell(Event::ClientLeft(self.id)));
+    /// Reports that the client left; [`RequestCommand::ConfirmClientLeft`] follows.
+    pub fn client_left(&self) {
+        self.planner.send(Input::Event(Event::ClientLeft(self.id)));
     }
 }
 
 impl Drop for RequestHandle {
     fn drop(&mut self) {
-        self.planner.put(Input::Closed(self.id));
+        self.planner.send(Input::RequestClosed(self.id));
     }
 }
 
-/// Whether an attempt that ended so tells that nobody should go to its host now.
-fn lost(outcome: Outcome) -> bool {
+/// Whether the outcome of an attempt means that no conductor should send requests to its host for now.
+fn is_host_failure(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Unreachable | Outcome::TimedOut | Outcome::Broken)
 }
 
 struct PlannerTask {
     router: Router,
     clock: Clock,
-    handles: HashMap<RequestId, UnboundedSender<Order>>,
+    requests: HashMap<RequestId, UnboundedSender<RequestCommand>>,
     inputs: UnboundedSender<Input>,
-    fleet: UnboundedSender<FleetOrder>,
+    fleet_commands: UnboundedSender<FleetCommand>,
 }
 
 impl PlannerTask {
     async fn run(mut self, mut inbox: UnboundedReceiver<Input>) {
         let (mut inputs, mut events, mut actions) = (Vec::new(), Vec::new(), Vec::new());
-        // Everything that has come in is one round, as a batch is for the adapter.
-        while inbox.recv_many(&mut inputs, 256).await > 0 {
-            let mut parted = Vec::new();
-            let mut closed = Vec::new();
-            let mut marks = Vec::new();
+        // All inputs that have arrived are handled in one round, like a batch of the adapter.
+        while inbox.recv_many(&mut inputs, MAX_BATCH_INPUTS).await > 0 {
+            let mut clients_left = Vec::new();
+            let mut closed_requests = Vec::new();
+            let mut flushes = Vec::new();
             for input in inputs.drain(..) {
                 match input {
-                    Input::Arrive(ask, handle) => {
-                        self.handles.insert(ask.id, handle);
-                        events.push(Event::Request(ask));
+                    Input::NewRequest(request, commands) => {
+                        self.requests.insert(request.id, commands);
+                        events.push(Event::Request(request));
                     }
-                    Input::Tell(event) => {
+                    Input::Event(event) => {
                         match &event {
-                            Event::ClientLeft(id) => parted.push(*id),
-                            Event::AttemptEnded { host, outcome, .. } if lost(*outcome) => {
-                                let _ = self.fleet.send(FleetOrder::Failed(*host));
+                            Event::ClientLeft(id) => clients_left.push(*id),
+                            Event::AttemptEnded { host, outcome, .. } if is_host_failure(*outcome) => {
+                                let _ = self.fleet_commands.send(FleetCommand::ReportFailure(*host));
                             }
                             _ => {}
                         }
                         events.push(event);
                     }
-                    Input::Closed(id) => closed.push(id),
-                    Input::Mark(mark) => marks.push(mark),
-                    Input::Adopt(curves, means) => self.router.fleet.adopt(self.clock.now(), &curves, means),
+                    Input::RequestClosed(id) => closed_requests.push(id),
+                    Input::Flush(sender) => flushes.push(sender),
+                    Input::AdoptEstimates(curves, means) => {
+                        self.router.fleet.adopt(self.clock.now(), &curves, means)
+                    }
                 }
             }
             self.router.handle(self.clock.now(), &events, &mut actions);
             if tracing::enabled!(tracing::Level::DEBUG) {
-                // A whole record of what the module was told and said, by which a day can be followed.
-                let told = events.iter().filter(|e| !matches!(e, Event::TimerExpired(_)));
-                told.for_each(|event| tracing::debug!("told: {event:?}"));
-                let said = actions.iter().filter(|a| !matches!(a, Action::SetTimer { .. }));
-                said.for_each(|action| tracing::debug!("said: {action:?}"));
+                // Logs all inputs and outputs of the router, so that its decisions can be traced afterwards.
+                let logged_events = events.iter().filter(|event| !matches!(event, Event::TimerExpired(_)));
+                logged_events.for_each(|event| tracing::debug!("told: {event:?}"));
+                let logged_actions =
+                    actions.iter().filter(|action| !matches!(action, Action::SetTimer { .. }));
+                logged_actions.for_each(|action| tracing::debug!("said: {action:?}"));
             }
             events.clear();
             for action in actions.drain(..) {
-                self.act(action);
+                self.execute(action);
             }
-            parted.into_iter().for_each(|id| self.order(id, Order::Parted));
-            closed.iter().for_each(|id| drop(self.handles.remove(id)));
-            marks.into_iter().for_each(|mark| drop(mark.send(self.router.fleet.clone())));
+            clients_left.into_iter().for_each(|id| self.command(id, RequestCommand::ConfirmClientLeft));
+            closed_requests.iter().for_each(|id| drop(self.requests.remove(id)));
+            flushes.into_iter().for_each(|sender| drop(sender.send(self.router.fleet.clone())));
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::Send { request, host, time_out } => self.order(request, Order::Send(host, time_out)),
-            Action::Cancel { request, attempt } => self.order(request, Order::Cancel(attempt)),
-            Action::Refuse { request, retry_after } => self.order(request, Order::Refuse(retry_after)),
-            Action::Fail(request) => self.order(request, Order::Fail),
-            Action::Release(request) => self.order(request, Order::Release),
-            Action::MoveStream(request) => self.order(request, Order::Move),
-            Action::Probe(host) => drop(self.fleet.send(FleetOrder::Probe(host))),
-            Action::CloseIdleConnections(host) => drop(self.fleet.send(FleetOrder::Close(host))),
+            Action::Send { request, host, time_out } => {
+                self.command(request, RequestCommand::Send(host, time_out))
+            }
+            Action::Cancel { request, attempt } => self.command(request, RequestCommand::Cancel(attempt)),
+            Action::Refuse { request, retry_after } => {
+                self.command(request, RequestCommand::Refuse(retry_after))
+            }
+            Action::Fail(request) => self.command(request, RequestCommand::Fail),
+            Action::Release(request) => self.command(request, RequestCommand::Release),
+            Action::MoveStream(request) => self.command(request, RequestCommand::MoveStream),
+            Action::Probe(host) => drop(self.fleet_commands.send(FleetCommand::Probe(host))),
+            Action::CloseIdleConnections(host) => {
+                drop(self.fleet_commands.send(FleetCommand::CloseIdleConnections(host)))
+            }
             Action::SetTimer { token, after } => {
                 let inputs = self.inputs.clone();
                 tokio::task::spawn_local(async move {
-                    tokio::time::sleep(span(after)).await;
-                    let _ = inputs.send(Input::Tell(Event::TimerExpired(token)));
+                    tokio::time::sleep(to_duration(after)).await;
+                    let _ = inputs.send(Input::Event(Event::TimerExpired(token)));
                 });
             }
-            // The list is always followed, and no place can be held ahead on these protocols.
+            // The list of hosts is always watched, and these protocols cannot reserve a place at a writer.
             Action::ListHosts | Action::WatchHosts | Action::ReserveWriter { .. } => {}
-            Action::Suspect { host, failures } => drop(self.fleet.send(FleetOrder::Suspect(host, failures))),
+            Action::Suspect { host, failures } => {
+                drop(self.fleet_commands.send(FleetCommand::ReportSuspect(host, failures)))
+            }
             Action::Log(line) => tracing::info!("planner: {line}"),
         }
     }
 
-    /// A request whose task has ended needs no orders.
-    fn order(&self, id: RequestId, order: Order) {
-        if let Some(handle) = self.handles.get(&id) {
-            let _ = handle.send(order);
+    /// Sends a command to the task of a request. A request whose task has ended needs none.
+    fn command(&self, id: RequestId, command: RequestCommand) {
+        if let Some(commands) = self.requests.get(&id) {
+            let _ = commands.send(command);
         }
     }
 }
--- a/src/node/policy_gate.rs
+++ b/src/node/policy_gate.rs
@@ -1,5 +1,5 @@
-//! The gate before a conductor: under which policy a request is taken in, or that it is not. Open to all where conductors do
-//! not know one another.
+//! Admission under the shared policy: tells under which policy revision a request is admitted, or rejects it. Without a cluster
+//! every request is admitted under the conductor's own configuration.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,83 +12,84 @@
 use super::front::intake::Intake;
 use super::planner::Planner;
 use super::upstream::pool::Pool;
-use super::{Clock, span};
+use super::{Clock, to_duration};
 use crate::api::{Micros, NewRequest};
 use crate::control::gate::Take;
 use crate::control::shared_gate::{Active, SharedGate};
 use crate::control::state::Revision;
 
-/// When a client that is turned away should come back: at least, and at most.
-const COME_BACK: (Micros, Micros) = (400_000, 1_600_000);
+/// Least and greatest time after which a rejected client is told to retry, in microseconds.
+const RETRY_AFTER_RANGE_US: (Micros, Micros) = (400_000, 1_600_000);
 
-/// The gate, and what has to be told when a new policy is first met there.
+/// The policy gate of one process. Without a guard it admits every request.
 pub struct PolicyGate {
     guard: Option<Guard>,
 }
 
+/// The shared gate, and what has to be updated when a request is first admitted under a new policy.
 struct Guard {
     gate: Arc<SharedGate>,
     clock: Clock,
-    told: Cell<Revision>,
-    turned_away: Cell<u64>,
+    announced_revision: Cell<Revision>,
+    rejections: Cell<u64>,
     counters: Rc<Counters>,
 }
 
-/// A request was turned away; it should come back after this long.
+/// A request was rejected; the client should retry after this time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TurnedAway(pub Micros);
+pub struct GateRejection(pub Micros);
 
 impl PolicyGate {
-    /// A gate that is always open.
-    pub fn open() -> Rc<Self> {
+    /// Returns a gate that admits every request.
+    pub fn always_open() -> Rc<Self> {
         Rc::new(PolicyGate { guard: None })
     }
 
-    /// A gate that asks this shared one.
+    /// Returns a gate that admits requests as the shared gate allows.
     pub fn guarded(gate: Arc<SharedGate>, clock: Clock, counters: Rc<Counters>) -> Rc<Self> {
-        let (told, turned_away) = (Cell::new(0), Cell::new(0));
-        Rc::new(PolicyGate { guard: Some(Guard { gate, clock, told, turned_away, counters }) })
+        let (announced_revision, rejections) = (Cell::new(0), Cell::new(0));
+        Rc::new(PolicyGate { guard: Some(Guard { gate, clock, announced_revision, rejections, counters }) })
     }
 
-    /// Takes a request in under the policy of this moment; none where the conductor goes by its configuration alone. While
-    /// a change comes into force it waits here, for a third of a second at most. The planner has been told of the policy
-    /// when this returns, so whatever is told it next is decided by that policy or a later one.
-    pub async fn pass(&self, planner: &Planner) -> Result<Option<Arc<Active>>, TurnedAway> {
+    /// Admits a request under the policy in force; returns `None` where the conductor uses its configuration alone. While a
+    /// policy change takes effect the request waits here, for a third of a second at most. The planner has the settings of the
+    /// policy when this returns, so the inputs that it gets afterwards are decided under that policy or a later one.
+    pub async fn admit(&self, planner: &Planner) -> Result<Option<Arc<Active>>, GateRejection> {
         let Some(guard) = &self.guard else { return Ok(None) };
         let mut changes = None;
         loop {
             match guard.gate.take(|| guard.clock.now()) {
                 Ok(active) => {
-                    guard.tell(&active, planner);
+                    guard.announce(&active, planner);
                     return Ok(Some(active));
                 }
-                // The first look at the changes is before the second look at the right: none between is missed.
+                // Subscribes before the gate is checked a second time, so that no change in between is missed.
                 Err(Take::Hold(_)) if changes.is_none() => {
                     add(&guard.counters.held_at_door);
                     changes = Some(guard.gate.changes());
                 }
                 Err(Take::Hold(until)) => {
-                    let left = span(until - guard.clock.now()).max(Duration::from_millis(1));
+                    let remaining = to_duration(until - guard.clock.now()).max(Duration::from_millis(1));
                     if let Some(changes) = &mut changes {
-                        let _ = timeout(left, changes.changed()).await;
+                        let _ = timeout(remaining, changes.changed()).await;
                     }
                 }
                 Err(_) => {
                     add(&guard.counters.turned_away);
-                    return Err(TurnedAway(guard.come_back()));
+                    return Err(GateRejection(guard.retry_after()));
                 }
             }
         }
     }
 
-    /// Whether nothing is taken in at this moment, nor soon.
-    pub fn shut(&self) -> bool {
+    /// Returns whether requests are rejected now. A gate that only holds requests for a policy change does not count as closed.
+    pub fn is_closed(&self) -> bool {
         let take = self.guard.as_ref().map(|guard| guard.gate.look(|gate| gate.take(guard.clock.now())));
         matches!(take, Some(Take::Refuse(_)))
     }
 
-    /// Waits until this process is known to the others.
-    pub async fn registered(&self) {
+    /// Waits until this process is registered with the other conductors.
+    pub async fn wait_until_registered(&self) {
         let Some(guard) = &self.guard else { return };
         let mut changes = guard.gate.changes();
         while !guard.gate.look(|gate| gate.registered()) {
@@ -98,15 +99,15 @@
         }
     }
 
-    /// Keeps connections to what the policy in force says, for ever.
-    pub async fn limit(self: Rc<Self>, intake: Rc<Intake>, pool: Rc<Pool>) {
+    /// Applies the connection limits of each new policy, until the process ends.
+    pub async fn apply_connection_limits(self: Rc<Self>, intake: Rc<Intake>, pool: Rc<Pool>) {
         let Some(guard) = &self.guard else { return };
         let mut changes = guard.gate.changes();
-        let mut seen = 0;
+        let mut applied_revision = 0;
         while changes.changed().await.is_ok() {
             let active = guard.gate.active();
-            if let Some(policy) = active.policy.as_ref().filter(|_| active.revision != seen) {
-                seen = active.revision;
+            if let Some(policy) = active.policy.as_ref().filter(|_| active.revision != applied_revision) {
+                applied_revision = active.revision;
                 intake.limit(policy.client_connections);
                 pool.limit(policy.instance_connections);
             }
@@ -115,30 +116,37 @@
 }
 
 impl Guard {
-    fn tell(&self, active: &Active, planner: &Planner) {
-        if self.told.replace(active.revision) != active.revision {
-            planner.policy(active.settings.clone());
+    /// Passes the settings of a policy on to the planner when its revision is new.
+    fn announce(&self, active: &Active, planner: &Planner) {
+        if self.announced_revision.replace(active.revision) != active.revision {
+            planner.change_settings(active.settings.clone());
             self.counters.revision.set(active.revision);
         }
     }
 
-    /// Spread, lest all that were turned away in one moment return in one.
-    fn come_back(&self) -> Micros {
-        let turn = self.turned_away.get();
-        self.turned_away.set(turn.wrapping_add(1));
-        // Steps of the golden ratio fill the range evenly however many there are.
-        let part = (turn as f64 * 0.618_033_988_749_895).fract();
-        COME_BACK.0 + ((COME_BACK.1 - COME_BACK.0) as f64 * part) as Micros
+    /// Returns the retry time for the next rejection. The times are spread so that clients that were rejected together do not
+    /// retry together.
+    fn retry_after(&self) -> Micros {
+        let rejections = self.rejections.get();
+        self.rejections.set(rejections.wrapping_add(1));
+        // Multiples of the golden ratio modulo 1 are spread evenly, for any number of rejections.
+        let fraction = (rejections as f64 * 0.618_033_988_749_895).fract();
+        RETRY_AFTER_RANGE_US.0
+            + ((RETRY_AFTER_RANGE_US.1 - RETRY_AFTER_RANGE_US.0) as f64 * fraction) as Micros
     }
 }
 
-/// The client's patience under this policy, which is no longer than its class's deadline there.
-pub fn time_left(ask: &NewRequest, active: &Active) -> Micros {
-    let Some(class) = active.settings.classes.get(ask.class.0).filter(|_| active.policy.is_some()) else {
-        return ask.time_left;
+/// Returns the time that a request has left under a policy: the client's limit, capped by the deadline of its class. The cap
+/// grows with the prompt, and for an answer in one piece with the time to write it.
+pub fn policy_time_limit(request: &NewRequest, active: &Active) -> Micros {
+    let Some(class) = active.settings.classes.get(request.class.0).filter(|_| active.policy.is_some()) else {
+        return request.time_left;
     };
-    let long = (2.0 * class.aim_per_1000 as f64 * ask.prompt_tokens / 1_000.0) as Micros;
-    let writing =
-        if ask.is_unary { (ask.max_output_tokens * class.token_aim as f64 * 2.0) as Micros } else { 0 };
-    ask.time_left.min(class.deadline.saturating_add(long).saturating_add(writing))
+    let prompt_allowance = (2.0 * class.aim_per_1000 as f64 * request.prompt_tokens / 1_000.0) as Micros;
+    let output_allowance = if request.is_unary {
+        (request.max_output_tokens * class.token_aim as f64 * 2.0) as Micros
+    } else {
+        0
+    };
+    request.time_left.min(class.deadline.saturating_add(prompt_allowance).saturating_add(output_allowance))
 }
--- a/src/node/process/schedule.rs
+++ b/src/node/process/schedule.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use crate::api::Settings;
-use crate::node::span;
+use crate::node::to_duration;
 
 /// A longest deadline counts as no longer than this in the grace period.
 const DEADLINE_MOST: Duration = Duration::from_secs(3);
@@ -39,7 +39,8 @@
 impl GracePeriod {
     /// As the platform gives it: the longest deadline of all classes, within a bound, and a fixed time more.
     pub fn of(settings: &Settings) -> Self {
-        let longest = settings.classes.iter().map(|class| span(class.deadline)).max().unwrap_or_default();
+        let longest =
+            settings.classes.iter().map(|class| to_duration(class.deadline)).max().unwrap_or_default();
         GracePeriod(longest.min(DEADLINE_MOST) + BEYOND_DEADLINE)
     }
 }
--- a/src/node/process/shutdown.rs
+++ b/src/node/process/shutdown.rs
@@ -10,7 +10,7 @@
 use super::readiness::{Happening, Readiness};
 use super::schedule::{GracePeriod, ShutdownSchedule};
 use crate::api::NewRequest;
-use crate::node::span;
+use crate::node::to_duration;
 
 /// The signals that end the process.
 pub struct EndSignals {
@@ -119,7 +119,7 @@
         let Some(schedule) = self.schedule.get() else { return true };
         let now = Instant::now();
         now < schedule.requests_until
-            && (!ask.is_unary || now + span(ask.time_left) <= schedule.answers_until)
+            && (!ask.is_unary || now + to_duration(ask.time_left) <= schedule.answers_until)
     }
 
     /// Waits for a signal that ends the process, then until all that still arrives is finished. Further signals change nothing.
--- a/src/node/process/start.rs
+++ b/src/node/process/start.rs
@@ -37,7 +37,7 @@
     if !in_time && !given.known {
         let _ = told.wait_for(|told| *told).await;
     }
-    policy_gate.registered().await;
+    policy_gate.wait_until_registered().await;
     caught_up.await;
     tracing::info!("ready, {}", if in_time { "with discovery's list" } else { "discovery is silent" });
     shutdown.note(Happening::CanServe);
--- a/src/node/process/succession.rs
+++ b/src/node/process/succession.rs
@@ -26,7 +26,7 @@
 use crate::node::counters::add;
 use crate::node::front::intake::Intake;
 use crate::node::list::fleet::Fleet;
-use crate::node::{Clock, span};
+use crate::node::{Clock, to_duration};
 
 /// For the other process to answer, before the newer starts on its own or the older hears the next.
 const ANSWER: Duration = Duration::from_secs(1);
@@ -242,7 +242,7 @@
             }
         });
         loop {
-            let wait = handover.due().map(|due| span(due - self.clock.now()));
+            let wait = handover.due().map(|due| to_duration(due - self.clock.now()));
             let effects = tokio::select! {
                 biased;
                 message = told.recv() => match message {
@@ -348,7 +348,7 @@
             membership: self.fleet.membership(),
             drained: self.shutdown.readiness().drained(),
             discovery: *self.discovery.borrow(),
-            learnt: self.fleet.core().planner.settled().await,
+            learnt: self.fleet.core().planner.flush().await,
             now: Some(self.clock.now()),
             settings: self.settings,
         };
--- a/src/node/request.rs
+++ b/src/node/request.rs
@@ -1,4 +1,5 @@
-//! The life of one request, from intake to its one final answer.
+//! The task of one request, from its admission to its one final answer. It carries out the planner's commands: it sends and
+//! cancels attempts, passes the stream on to the client and releases cached state.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -10,9 +11,9 @@
 use tokio::time::{Instant, sleep_until};
 
 use super::counters::{Counters, add};
-use super::planner::{End, Order, RequestHandle};
-use super::policy_gate::{TurnedAway, time_left};
-use super::{Core, span};
+use super::planner::{AttemptReport, RequestCommand, RequestHandle};
+use super::policy_gate::{GateRejection, policy_time_limit};
+use super::{Core, to_duration};
 use crate::api::{AttemptId, HostId, Load, Micros, NewRequest, Outcome};
 use crate::control::state::Revision;
 use crate::node::upstream::attempt::{First, Payload};
@@ -22,24 +23,25 @@
 use crate::node::upstream::relay::{self, Passed};
 use crate::node::upstream::release::ReleaseReason;
 
-/// Past the deadline, after which a request without a decision is answered as failed. The rules allow more.
-const OVERDUE: Duration = Duration::from_millis(15);
+/// Time past the deadline after which a request without a decision gets its final answer here. The answer slack that the rules
+/// allow is longer.
+const OVERDUE_MARGIN: Duration = Duration::from_millis(15);
 
-/// A request's answer, for a front to put into its own words.
+/// A request's answer, which a front puts into its own protocol.
 pub enum Answer {
-    /// A stream or a whole answer of one instance.
+    /// A stream, or an answer in one piece, of one instance.
     Events {
-        /// What the instance said that it is.
+        /// The form of the answer, as the instance declared it.
         form: Form,
-        /// Its bytes as they come.
+        /// The bytes of the answer as they arrive.
         pieces: mpsc::Receiver<Piece>,
     },
-    /// Refused: trying again is harmless.
+    /// The request was rejected, and a retry is safe.
     Refused {
-        /// When to come back.
-        come_back: Option<Micros>,
+        /// Time after which the client should retry.
+        retry_after: Option<Micros>,
     },
-    /// Failed.
+    /// The request failed and may have run.
     Failed,
 }
 
@@ -53,277 +55,292 @@
     }
 }
 
-/// An answer, and the revision of the policy by which it was decided where conductors have one.
-pub struct Given {
+/// A final answer and the policy revision under which it was decided.
+pub struct FinalAnswer {
     /// The answer.
     pub answer: Answer,
-    /// The revision.
+    /// The revision; `None` where the conductor uses its configuration alone.
     pub revision: Option<Revision>,
 }
 
-/// The way back to the client, until it has its answer.
-type Way = Rc<RefCell<Option<oneshot::Sender<Given>>>>;
+/// The channel for the final answer; `None` once the answer is given.
+type AnswerSender = Rc<RefCell<Option<oneshot::Sender<FinalAnswer>>>>;
 
-/// Whether a request's client still waits for its answer: looked at directly before anything is sent for it.
+/// Tells whether a request's client still waits for its answer. It is checked immediately before anything is sent for the
+/// request.
 #[derive(Clone)]
-pub struct Wanted(Way);
+pub struct ClientPresence(AnswerSender);
 
-impl Wanted {
-    /// Whether it does.
-    pub fn holds(&self) -> bool {
-        self.0.borrow().as_ref().is_some_and(|way| !way.is_closed())
+impl ClientPresence {
+    /// Returns whether the client still waits for its answer.
+    pub fn is_waiting(&self) -> bool {
+        self.0.borrow().as_ref().is_some_and(|sender| !sender.is_closed())
     }
 }
 
-/// The way back to the client. It shows when the client leaves.
-pub struct Caller {
-    way: Way,
+/// Gives a request its final answer, and detects that its client has left.
+pub struct Responder {
+    answer_sender: AnswerSender,
     id: Rc<str>,
     revision: Option<Revision>,
 }
 
-impl Caller {
-    /// The caller of the request with this id, and where its front waits for the answer.
-    pub fn new(id: Rc<str>) -> (Self, oneshot::Receiver<Given>) {
+impl Responder {
+    /// Returns the responder of the request with this id, and the receiver on which its front waits for the answer.
+    pub fn new(id: Rc<str>) -> (Self, oneshot::Receiver<FinalAnswer>) {
         let (sender, receiver) = oneshot::channel();
-        let way = Rc::new(RefCell::new(Some(sender)));
-        (Caller { way, id, revision: None }, receiver)
+        let answer_sender = Rc::new(RefCell::new(Some(sender)));
+        (Responder { answer_sender, id, revision: None }, receiver)
     }
 
-    /// Whether the client still waits, for those who send for it.
-    pub fn wanted(&self) -> Wanted {
-        Wanted(self.way.clone())
+    /// Returns a check of whether the client still waits, for the code that sends attempts.
+    pub fn client_presence(&self) -> ClientPresence {
+        ClientPresence(self.answer_sender.clone())
     }
 
-    /// Waits until the client leaves; never ends once it has its answer.
-    async fn left(&mut self) {
-        let way = &self.way;
-        poll_fn(|cx| match &mut *way.borrow_mut() {
+    /// Waits until the client leaves. Never completes once the answer is given.
+    async fn client_left(&mut self) {
+        let answer_sender = &self.answer_sender;
+        poll_fn(|cx| match &mut *answer_sender.borrow_mut() {
             Some(sender) => sender.poll_closed(cx),
             None => Poll::Pending,
         })
         .await;
     }
 
-    /// Gives a final answer of the conductor's own, and counts what became of the request.
+    /// Gives a final answer that comes from the conductor and not from an instance, and counts how the request ended.
     fn finish(&mut self, answer: Answer, counters: &Counters) {
-        let told =
+        let answer_counter =
             if matches!(answer, Answer::Refused { .. }) { &counters.refused } else { &counters.failed };
-        add(if self.answer(answer) { told } else { &counters.left });
+        add(if self.answer(answer) { answer_counter } else { &counters.left });
     }
 
-    /// Gives the final answer, once; false when the client has left.
+    /// Gives the final answer unless one was given before. Returns whether the client was there to receive it.
     fn answer(&mut self, answer: Answer) -> bool {
-        let Some(way) = self.way.borrow_mut().take() else { return false };
+        let Some(sender) = self.answer_sender.borrow_mut().take() else { return false };
         tracing::debug!(request = %self.id, answer = answer.name(), "request: answered");
         if let Some(revision) = self.revision {
             tracing::info!("request {}: {} under revision {revision}", self.id, answer.name());
         }
-        way.send(Given { answer, revision: self.revision }).is_ok()
+        sender.send(FinalAnswer { answer, revision: self.revision }).is_ok()
     }
 }
 
-/// What a request's task wakes up for.
-enum Next {
-    Order(Order),
+/// Something that a request's task waits for.
+enum Wakeup {
+    Command(RequestCommand),
     ClientLeft,
     Overdue,
 }
 
-async fn next(handle: &mut RequestHandle, caller: &mut Caller, overdue: Instant, over: bool) -> Next {
+/// Waits for the next event of a request. Once its answer is settled, only commands of the planner count.
+async fn next_wakeup(
+    handle: &mut RequestHandle, responder: &mut Responder, overdue_at: Instant, is_settled: bool,
+) -> Wakeup {
     tokio::select! {
         biased;
-        order = handle.next() => Next::Order(order),
-        () = caller.left(), if !over => Next::ClientLeft,
-        () = sleep_until(overdue), if !over => Next::Overdue,
+        command = handle.next_command() => Wakeup::Command(command),
+        () = responder.client_left(), if !is_settled => Wakeup::ClientLeft,
+        () = sleep_until(overdue_at), if !is_settled => Wakeup::Overdue,
     }
 }
 
-/// Tells the log of one attempt's beginning and end.
+/// Logs the start and the end of one attempt.
 struct AttemptTrace<'a> {
     core: &'a Core,
     request: Rc<str>,
     number: AttemptId,
     instance: Rc<str>,
-    begun: Instant,
-    /// Its stream has begun.
-    answered: bool,
+    started_at: Instant,
+    /// The stream of the answer has begun.
+    is_answered: bool,
 }
 
 impl<'a> AttemptTrace<'a> {
-    fn begun(core: &'a Core, request: &Rc<str>, number: AttemptId, host: HostId, until: Instant) -> Self {
-        let (request, instance, begun) = (request.clone(), core.upstream.pool().name(host), Instant::now());
-        let time_out_ms = until.saturating_duration_since(begun).as_millis() as u64;
+    fn start(
+        core: &'a Core, request: &Rc<str>, number: AttemptId, host: HostId, attempt_deadline: Instant,
+    ) -> Self {
+        let (request, instance, started_at) =
+            (request.clone(), core.upstream.pool().name(host), Instant::now());
+        let time_out_ms = attempt_deadline.saturating_duration_since(started_at).as_millis() as u64;
         let reads = core.upstream.reads(host);
         tracing::debug!(%request, attempt = number.0, %instance, reads, time_out_ms, "attempt: begun");
-        AttemptTrace { core, request, number, instance, begun, answered: false }
+        AttemptTrace { core, request, number, instance, started_at, is_answered: false }
     }
 
-    fn ended(&self, outcome: Outcome) {
-        let AttemptTrace { core, request, number, instance, begun, .. } = self;
-        let (attempt, took_ms) = (number.0, begun.elapsed().as_millis() as u64);
+    fn end(&self, outcome: Outcome) {
+        let AttemptTrace { core, request, number, instance, started_at, .. } = self;
+        let (attempt, took_ms) = (number.0, started_at.elapsed().as_millis() as u64);
         tracing::debug!(%request, attempt, %instance, ?outcome, took_ms, "attempt: ended");
-        let unanswered = !self.answered && matches!(outcome, Outcome::TimedOut | Outcome::Broken);
-        if let Some(left_out) = unanswered.then(|| core.upstream.log_unanswered()).flatten() {
+        let is_unanswered = !self.is_answered && matches!(outcome, Outcome::TimedOut | Outcome::Broken);
+        if let Some(left_out) = is_unanswered.then(|| core.upstream.log_unanswered()).flatten() {
             tracing::info!(%request, attempt, %instance, ?outcome, took_ms, left_out, "attempt: no answer");
         }
     }
 }
 
-/// Lives one request through. The planner decides at each point of choice; exactly one final answer goes to the
-/// caller, and nothing stays held or sent when this ends. `permit` is what the payload takes up, given back with it.
-pub async fn live<R>(core: Core, mut ask: NewRequest, (payload, permit): (Payload, R), mut caller: Caller) {
-    // 0. At the gate: which policy decides it to its end, or that this process takes nothing in.
-    let arrived = Instant::now();
-    let passed = tokio::select! {
+/// Handles one request from its admission to its end. The planner makes each decision. The client gets exactly one final answer,
+/// and when this returns no attempt is in flight and no server holds state for the request. `permit` stands for the memory of the
+/// payload and is dropped together with it.
+pub async fn handle_request<R>(
+    core: Core, mut request: NewRequest, (payload, permit): (Payload, R), mut responder: Responder,
+) {
+    // 0. Admission: the policy gate tells which policy applies to the request until its end, or rejects it.
+    let arrived_at = Instant::now();
+    let admission = tokio::select! {
         biased;
-        passed = core.policy_gate.pass(&core.planner) => passed,
-        () = caller.left() => return add(&core.counters.left),
+        admission = core.policy_gate.admit(&core.planner) => admission,
+        () = responder.client_left() => return add(&core.counters.left),
     };
-    match passed {
+    match admission {
         Ok(Some(active)) => {
-            caller.revision = Some(active.revision);
-            ask.time_left = time_left(&ask, &active) - arrived.elapsed().as_micros() as Micros;
+            responder.revision = Some(active.revision);
+            request.time_left =
+                policy_time_limit(&request, &active) - arrived_at.elapsed().as_micros() as Micros;
         }
         Ok(None) => {}
-        Err(TurnedAway(come_back)) => {
-            return caller.finish(Answer::Refused { come_back: Some(come_back) }, &core.counters);
+        Err(GateRejection(retry_after)) => {
+            return responder.finish(Answer::Refused { retry_after: Some(retry_after) }, &core.counters);
         }
     }
     let mut lease = LeaseKeeper::new(core.upstream.clone(), payload.id.clone());
-    attempts(&core, ask, (payload, permit), caller, &mut lease).await;
-    // Guards against anything left held, whatever the order in which client and planner ended the request.
+    run_attempts(&core, request, (payload, permit), responder, &mut lease).await;
+    // Releases whatever a server may still hold, in whichever order the client and the planner ended the request.
     lease.finish().await;
 }
 
-/// Makes the attempts that the planner orders, up to the final answer and the end of its stream.
-async fn attempts<R>(
-    core: &Core, ask: NewRequest, (payload, permit): (Payload, R), mut caller: Caller,
+/// Makes the attempts that the planner asks for, until the final answer is given and its stream has ended.
+async fn run_attempts<R>(
+    core: &Core, request: NewRequest, (payload, permit): (Payload, R), mut responder: Responder,
     lease: &mut LeaseKeeper,
 ) {
-    let deadline = Instant::now() + span(ask.time_left);
-    let overdue = deadline + OVERDUE;
+    let deadline = Instant::now() + to_duration(request.time_left);
+    let overdue_at = deadline + OVERDUE_MARGIN;
     let counters = core.counters.clone();
-    let whole = ask.is_unary;
-    let mut handle = core.planner.arrive(ask);
+    let is_unary = request.is_unary;
+    let mut handle = core.planner.submit(request);
     tracing::debug!(request = %payload.id, number = handle.number(), "request: taken");
-    let mut sent = 0;
-    // The client needs no answer any more; the planner has been told so.
-    let mut over = false;
+    let mut attempts_sent = 0;
+    // The client needs no further answer, and the planner knows that.
+    let mut is_settled = false;
     add(&counters.taken);
 
     loop {
-        // 1. Held: the planner says when to go where, or that it gives up.
-        let (host, time_out) = match next(&mut handle, &mut caller, overdue, over).await {
-            Next::Order(Order::Send(host, time_out)) => (host, time_out),
-            Next::Order(Order::Refuse(come_back)) => {
-                if !over {
-                    caller.finish(Answer::Refused { come_back }, &counters);
+        // 1. Queued: wait until the planner names a host or gives the request up.
+        let (host, timeout) = match next_wakeup(&mut handle, &mut responder, overdue_at, is_settled).await {
+            Wakeup::Command(RequestCommand::Send(host, timeout)) => (host, timeout),
+            Wakeup::Command(RequestCommand::Refuse(retry_after)) => {
+                if !is_settled {
+                    responder.finish(Answer::Refused { retry_after }, &counters);
                 }
                 break;
             }
-            Next::Order(Order::Fail) => {
-                if !over {
-                    caller.finish(Answer::Failed, &counters);
+            Wakeup::Command(RequestCommand::Fail) => {
+                if !is_settled {
+                    responder.finish(Answer::Failed, &counters);
                 }
                 break;
             }
-            Next::Order(Order::Release) => {
+            Wakeup::Command(RequestCommand::Release) => {
                 lease.release(ReleaseReason::Ordered);
                 continue;
             }
-            Next::Order(Order::Parted) => break,
-            Next::Order(Order::Cancel(_) | Order::Move) => continue,
-            Next::ClientLeft => {
+            Wakeup::Command(RequestCommand::ConfirmClientLeft) => break,
+            Wakeup::Command(RequestCommand::Cancel(_) | RequestCommand::MoveStream) => continue,
+            Wakeup::ClientLeft => {
                 add(&counters.left);
-                (over, _) = (true, handle.left());
+                (is_settled, _) = (true, handle.client_left());
                 continue;
             }
-            Next::Overdue => {
+            Wakeup::Overdue => {
                 tracing::error!("request {}: no decision by its deadline", payload.id);
                 add(&counters.overdue);
-                // What was never sent on may be asked again: this process did not run for a while, as a rule.
-                caller.answer(if sent == 0 { Answer::Refused { come_back: None } } else { Answer::Failed });
-                (over, _) = (true, handle.left());
+                // A request that was never sent is safe to retry. The usual cause is that this process was suspended.
+                responder.answer(if attempts_sent == 0 {
+                    Answer::Refused { retry_after: None }
+                } else {
+                    Answer::Failed
+                });
+                (is_settled, _) = (true, handle.client_left());
                 continue;
             }
         };
-        let attempt = AttemptId(sent);
-        sent += 1;
-        let begun = Instant::now();
-        let ended = |outcome, last, kept, load| {
-            core.counters.attempt_ended(outcome);
-            let took = begun.elapsed().as_micros() as Micros;
-            (outcome, last, End { kept, took, load })
+        let attempt = AttemptId(attempts_sent);
+        attempts_sent += 1;
+        let started_at = Instant::now();
+        let count_end = |outcome, is_final, cached_tokens, load| {
+            core.counters.count_attempt_end(outcome);
+            let elapsed = started_at.elapsed().as_micros() as Micros;
+            (outcome, is_final, AttemptReport { cached_tokens, elapsed, load })
         };
-        if over {
-            let (outcome, last, end) = ended(Outcome::Moot, true, 0.0, None);
-            handle.ended(attempt, host, outcome, last, end);
+        if is_settled {
+            let (outcome, is_final, report) = count_end(Outcome::Moot, true, 0.0, None);
+            handle.attempt_ended(attempt, host, outcome, is_final, report);
             continue;
         }
 
-        // 2. The attempt, until it ends, is withdrawn, or its stream begins.
-        let reader = core.upstream.reads(host);
-        if reader {
+        // 2. The attempt, until it ends, is cancelled, or its stream begins.
+        let is_reader = core.upstream.reads(host);
+        if is_reader {
             tokio::select! {
                 biased;
-                // Told below, by the look before the first byte.
-                () = caller.left() => {}
+                // The check before the first byte stops the attempt, and the departure is handled below.
+                () = responder.client_left() => {}
                 () = lease.before_read() => {}
             }
         }
-        let until = (begun + span(time_out)).min(deadline);
-        let witness = if reader { Some(lease.read_sent()) } else { None };
-        if !reader {
+        let attempt_deadline = (started_at + to_duration(timeout)).min(deadline);
+        let end_witness = if is_reader { Some(lease.read_sent()) } else { None };
+        if !is_reader {
             lease.write_sent();
         }
-        let mut trace = AttemptTrace::begun(core, &payload.id, attempt, host, until);
-        let (first, load) = attempt_at(
+        let mut trace = AttemptTrace::start(core, &payload.id, attempt, host, attempt_deadline);
+        let (first, load) = run_attempt(
             core,
-            (host, attempt, until, witness),
+            (host, attempt, attempt_deadline, end_witness),
             &payload,
             &mut handle,
-            &mut caller,
-            &mut over,
-            overdue,
+            &mut responder,
+            &mut is_settled,
+            overdue_at,
         )
         .await;
         let mut events = match first {
             First::Began(events) => events,
-            First::Read(kept) => {
-                trace.ended(Outcome::Read);
+            First::Read(cached_tokens) => {
+                trace.end(Outcome::Read);
                 lease.ended(Outcome::Read);
-                let (outcome, last, end) = ended(Outcome::Read, over, kept, load);
-                handle.ended(attempt, host, outcome, last, end);
-                if over { break } else { continue }
+                let (outcome, is_final, report) = count_end(Outcome::Read, is_settled, cached_tokens, load);
+                handle.attempt_ended(attempt, host, outcome, is_final, report);
+                if is_settled { break } else { continue }
             }
             First::Ended(outcome) => {
-                trace.ended(outcome);
+                trace.end(outcome);
                 lease.ended(outcome);
-                let (outcome, last, end) = ended(outcome, over, 0.0, load);
-                handle.ended(attempt, host, outcome, last, end);
-                if over { break } else { continue }
+                let (outcome, is_final, report) = count_end(outcome, is_settled, 0.0, load);
+                handle.attempt_ended(attempt, host, outcome, is_final, report);
+                if is_settled { break } else { continue }
             }
         };
 
-        // 3. The stream: it is this client's from its first event on, and no deadline runs any more. It is never sent
-        // again, so the payload, far larger than the events that wait, goes now.
+        // 3. The stream. From its first event on it belongs to the client: no deadline applies and the request is never sent
+        // again. The payload is dropped here because it is far larger than the buffered events.
         drop((payload, permit));
         lease.stream_began();
-        trace.answered = true;
-        if !whole {
-            // A whole answer tells nothing of the time to a first token.
-            handle.began(attempt, host, begun.elapsed().as_micros() as Micros);
+        trace.is_answered = true;
+        if !is_unary {
+            // An answer in one piece does not show the time to first token.
+            handle.first_token(attempt, host, started_at.elapsed().as_micros() as Micros);
         }
         let (pieces, receiver) = mpsc::channel(relay::WAITING);
         let form = events.form().clone();
-        let passed = if over || !caller.answer(Answer::Events { form, pieces: receiver }) {
+        let passed = if is_settled || !responder.answer(Answer::Events { form, pieces: receiver }) {
             Passed::ClientLeft
         } else {
             tokio::select! {
                 passed = relay::pass(&mut events, &pieces) => passed,
-                () = moved(&mut handle) => {
-                    // The client comes again for the rest.
+                () = move_requested(&mut handle) => {
+                    // The client sends the request again to resume the stream.
                     let _ = pieces.try_send(Err(StreamBroken::Cut));
                     Passed::Broken(StreamBroken::Cut)
                 }
@@ -336,74 +353,77 @@
             Passed::Broken(StreamBroken::Spoilt) => (add(&counters.broken), Outcome::Spoilt).1,
             Passed::Failed => (add(&counters.failed), Outcome::Error).1,
             Passed::ClientLeft => {
-                if !over {
+                if !is_settled {
                     add(&counters.left);
-                    handle.left();
+                    handle.client_left();
                 }
                 Outcome::Cancelled
             }
         };
-        trace.ended(outcome);
-        let (outcome, last, end) = ended(outcome, true, 0.0, None);
-        handle.ended(attempt, host, outcome, last, end);
+        trace.end(outcome);
+        let (outcome, is_final, report) = count_end(outcome, true, 0.0, None);
+        handle.attempt_ended(attempt, host, outcome, is_final, report);
         break;
     }
 }
 
-/// One attempt up to its first event. A client that leaves is told to the planner, which withdraws the attempt.
-async fn attempt_at(
-    core: &Core, (host, attempt, until, witness): (HostId, AttemptId, Instant, Option<EndWitness>),
-    payload: &Payload, handle: &mut RequestHandle, caller: &mut Caller, over: &mut bool, overdue: Instant,
+/// Runs one attempt until its stream begins or it ends. If the client leaves, the planner is notified and cancels the attempt.
+async fn run_attempt(
+    core: &Core,
+    (host, attempt, attempt_deadline, end_witness): (HostId, AttemptId, Instant, Option<EndWitness>),
+    payload: &Payload, handle: &mut RequestHandle, responder: &mut Responder, is_settled: &mut bool,
+    overdue_at: Instant,
 ) -> (First, Option<Load>) {
-    let withdrawn = (First::Ended(Outcome::Cancelled), None);
-    let first = core.upstream.first(host, payload, until, (caller.wanted(), witness));
+    let cancelled = (First::Ended(Outcome::Cancelled), None);
+    let first =
+        core.upstream.first(host, payload, attempt_deadline, (responder.client_presence(), end_witness));
     tokio::pin!(first);
     loop {
         tokio::select! {
-            // What has come is taken before an end that came in the same moment is judged.
+            // An answer that has arrived takes precedence over a cancellation or a timeout at the same moment.
             biased;
-            done = &mut first => return done,
-            next = next(handle, caller, overdue, *over) => match next {
-                Next::Order(Order::Cancel(which)) if which == attempt => return withdrawn,
-                // The planner has ended it while an attempt is out: answer, and give the attempt up.
-                Next::Order(Order::Refuse(come_back)) => {
-                    if !*over {
-                        caller.finish(Answer::Refused { come_back }, &core.counters);
+            result = &mut first => return result,
+            wakeup = next_wakeup(handle, responder, overdue_at, *is_settled) => match wakeup {
+                Wakeup::Command(RequestCommand::Cancel(number)) if number == attempt => return cancelled,
+                // The planner has ended the request while an attempt is in flight: give the answer and cancel the attempt.
+                Wakeup::Command(RequestCommand::Refuse(retry_after)) => {
+                    if !*is_settled {
+                        responder.finish(Answer::Refused { retry_after }, &core.counters);
                     }
-                    *over = true;
-                    return withdrawn;
+                    *is_settled = true;
+                    return cancelled;
                 }
-                Next::Order(Order::Fail) => {
-                    if !*over {
-                        caller.finish(Answer::Failed, &core.counters);
+                Wakeup::Command(RequestCommand::Fail) => {
+                    if !*is_settled {
+                        responder.finish(Answer::Failed, &core.counters);
                     }
-                    *over = true;
-                    return withdrawn;
+                    *is_settled = true;
+                    return cancelled;
                 }
-                Next::Order(_) => {}
-                Next::ClientLeft => {
+                Wakeup::Command(_) => {}
+                Wakeup::ClientLeft => {
                     add(&core.counters.left);
-                    *over = true;
-                    handle.left();
+                    *is_settled = true;
+                    handle.client_left();
                 }
-                Next::Overdue => {
+                Wakeup::Overdue => {
                     add(&core.counters.overdue);
-                    caller.answer(Answer::Failed);
-                    *over = true;
-                    handle.left();
+                    responder.answer(Answer::Failed);
+                    *is_settled = true;
+                    handle.client_left();
                 }
             },
         }
     }
 }
 
-/// Waits for an order to move the stream.
-async fn moved(handle: &mut RequestHandle) {
+/// Waits until the planner asks for the stream to be moved.
+async fn move_requested(handle: &mut RequestHandle) {
     loop {
-        match handle.next().await {
-            Order::Move => return,
-            // The planner's end is the process's end; the stream goes on until then.
-            Order::Fail => std::future::pending().await,
+        match handle.next_command().await {
+            RequestCommand::MoveStream => return,
+            // The planner ends only with the process; the stream continues until then.
+            RequestCommand::Fail => std::future::pending().await,
             _ => {}
         }
     }
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -1,5 +1,5 @@
-//! The serving side of shared state: tells the ledger's thread what this conductor learns, spends and finds, and lays what others
-//! tell over its own planner and fleet.
+//! The network side of shared state: reports this conductor's spending, estimates and observations of instances to the ledger's
+//! thread, and applies what the other conductors report to its own planner and fleet.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -11,7 +11,7 @@
 
 use super::counters::add;
 use super::list::fleet::Fleet;
-use super::planner::FleetOrder;
+use super::planner::FleetCommand;
 use super::{Clock, Core, log_suspect};
 use crate::api::{HostId, Load, Micros, Outcome};
 use crate::control::controller::{Handle, StateUpdate};
@@ -20,123 +20,132 @@
 use crate::replica::store::Report;
 use crate::replica::sync::CATCH_UP_MOST;
 
-/// Between tellings of what was spent and learnt.
-const TELL: Duration = Duration::from_millis(200);
-/// Between tellings of failures of one instance.
-const FAILURE_EVERY: Micros = 300_000;
+/// Interval at which spending and estimates are reported.
+const ESTIMATES_REPORT_INTERVAL: Duration = Duration::from_millis(200);
+/// Least time between two reported failures of one instance, in microseconds.
+const MIN_FAILURE_REPORT_INTERVAL_US: Micros = 300_000;
 
-/// What conductors share, as the serving side sees it.
-pub struct Shared {
+/// The state that conductors share, as the network side sees it.
+pub struct SharedState {
     handle: Handle,
     fleet: Rc<Fleet>,
     clock: Clock,
-    caught_up: watch::Sender<Option<bool>>,
-    marks: RefCell<(Marks, BTreeMap<String, i64>)>,
-    /// Instances that are out because of them. A ban that an operator has just asked for here is not among them yet.
-    laid: RefCell<BTreeSet<String>>,
-    told: RefCell<HashMap<HostId, Micros>>,
-    drained: Cell<bool>,
+    catch_up_result: watch::Sender<Option<bool>>,
+    /// Operators' marks, and the times at which instances returned, in Unix milliseconds.
+    marks_and_returns: RefCell<(Marks, BTreeMap<String, i64>)>,
+    /// Instances that are banned because of the shared marks. A ban that an operator has just requested at this conductor is not
+    /// yet included.
+    banned_by_marks: RefCell<BTreeSet<String>>,
+    failures_reported_at: RefCell<HashMap<HostId, Micros>>,
+    is_drained: Cell<bool>,
 }
 
-impl Shared {
-    /// For this fleet.
+impl SharedState {
+    /// Returns the shared state of this fleet.
     pub fn new(handle: Handle, fleet: Rc<Fleet>, clock: Clock) -> Rc<Self> {
-        Rc::new(Shared {
+        Rc::new(SharedState {
             handle,
             fleet,
             clock,
-            caught_up: watch::Sender::new(None),
-            marks: RefCell::default(),
-            laid: RefCell::default(),
-            told: RefCell::default(),
-            drained: Cell::new(false),
+            catch_up_result: watch::Sender::new(None),
+            marks_and_returns: RefCell::default(),
+            banned_by_marks: RefCell::default(),
+            failures_reported_at: RefCell::default(),
+            is_drained: Cell::new(false),
         })
     }
 
-    /// Waits until the copy here is as good as another's, or is not waited for any longer; operators' bans hold then.
-    pub async fn caught_up(&self) {
-        let mut told = self.caught_up.subscribe();
-        // The other thread has its own bound; this one only guards against its end.
-        let most = Duration::from_micros(2 * CATCH_UP_MOST as u64);
-        let well = timeout(most, told.wait_for(Option::is_some)).await;
-        if !matches!(well, Ok(Ok(well)) if *well == Some(true)) {
-            tracing::warn!("state: not caught up in time, this conductor serves with what it has");
+    /// Waits until the local replica has caught up with another conductor's or has stopped waiting for one. Operators' bans are
+    /// in force then.
+    pub async fn wait_until_caught_up(&self) {
+        let mut catch_up_result = self.catch_up_result.subscribe();
+        // The ledger's thread has its own time limit; this one only guards against the end of that thread.
+        let time_limit = Duration::from_micros(2 * CATCH_UP_MOST as u64);
+        let result = timeout(time_limit, catch_up_result.wait_for(Option::is_some)).await;
+        if !matches!(result, Ok(Ok(result)) if *result == Some(true)) {
+            tracing::warn!(
+                "state: not caught up with another conductor in time; serving with the local copy"
+            );
         }
     }
 
-    /// Passes on what comes and goes, for ever. `me` is this conductor's name; `drain` is told when its own mark changes.
+    /// Exchanges updates with the ledger's thread until that thread ends. `me` is this conductor's name; `on_drain_change` is
+    /// called when operators start or end its drain.
     pub async fn run(
-        self: Rc<Self>, me: String, mut news: mpsc::UnboundedReceiver<ShareEvent>, drain: impl Fn(bool),
+        self: Rc<Self>, me: String, mut events: mpsc::UnboundedReceiver<ShareEvent>,
+        on_drain_change: impl Fn(bool),
     ) {
-        let mut ticks = interval(TELL);
+        let mut ticks = interval(ESTIMATES_REPORT_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 _ = ticks.tick() => {
-                    let learnt = self.fleet.core().planner.settled().await;
-                    self.handle.tell(StateUpdate::Figures(Box::new(learnt)));
-                    // An instance that discovery has just named may be out for maintenance.
-                    self.lay_marks().await;
+                    let estimates = self.fleet.core().planner.flush().await;
+                    self.handle.tell(StateUpdate::Figures(Box::new(estimates)));
+                    // An instance that discovery has just listed may be under maintenance.
+                    self.apply_marks().await;
                 }
-                told = news.recv() => match told {
-                    Some(told) => self.take(&me, told, &drain).await,
+                event = events.recv() => match event {
+                    Some(event) => self.handle_event(&me, event, &on_drain_change).await,
                     None => return,
                 },
             }
         }
     }
 
-    async fn take(&self, me: &str, news: ShareEvent, drain: &impl Fn(bool)) {
+    async fn handle_event(&self, me: &str, event: ShareEvent, on_drain_change: &impl Fn(bool)) {
         let planner = &self.fleet.core().planner;
-        match news {
-            ShareEvent::Others(spent) => planner.others(spent),
+        match event {
+            ShareEvent::Others(spending) => planner.update_peer_spending(spending),
             ShareEvent::Reports(reports) => {
                 for (instance, report) in reports {
                     let Some(host) = self.fleet.known(&instance) else { continue };
                     add(&self.fleet.core().counters.reports_heard);
                     let outcome = if report.failed { Outcome::Unreachable } else { Outcome::Served };
-                    planner.probed(host, outcome, Some(report.load()).filter(|_| !report.failed));
+                    planner.probe_ended(host, outcome, Some(report.load()).filter(|_| !report.failed));
                 }
             }
             ShareEvent::Marks(marks, returns) => {
-                let drained = marks.since(&Subject::Conductor(me.into())).is_some();
-                *self.marks.borrow_mut() = (marks, returns);
-                self.lay_marks().await;
-                if self.drained.replace(drained) != drained {
-                    drain(drained);
+                let is_drained = marks.since(&Subject::Conductor(me.into())).is_some();
+                *self.marks_and_returns.borrow_mut() = (marks, returns);
+                self.apply_marks().await;
+                if self.is_drained.replace(is_drained) != is_drained {
+                    on_drain_change(is_drained);
                 }
             }
-            ShareEvent::Learnt(figures) => planner.adopt(figures.curves, figures.means),
-            ShareEvent::CaughtUp(well) => drop(self.caught_up.send_replace(Some(well))),
+            ShareEvent::Learnt(figures) => planner.adopt_estimates(figures.curves, figures.means),
+            ShareEvent::CaughtUp(succeeded) => drop(self.catch_up_result.send_replace(Some(succeeded))),
         }
     }
 
-    /// Lays operators' marks over the fleet as it is known now.
-    async fn lay_marks(&self) {
-        let (marks, returns) = self.marks.borrow().clone();
-        let instance = |(subject, _): (&Subject, Micros)| match subject {
+    /// Applies operators' marks to the fleet as it is known now.
+    async fn apply_marks(&self) {
+        let (marks, returns) = self.marks_and_returns.borrow().clone();
+        let instance_id = |(subject, _): (&Subject, Micros)| match subject {
             Subject::Instance(id) => Some(id.clone()),
             Subject::Conductor(_) => None,
         };
-        let out: BTreeSet<String> = marks.all().filter_map(instance).collect();
-        let before = self.laid.replace(out.clone());
+        let marked: BTreeSet<String> = marks.all().filter_map(instance_id).collect();
+        let previously_marked = self.banned_by_marks.replace(marked.clone());
         let membership = self.fleet.membership();
-        for id in out.iter().filter(|id| !membership.bans().contains_key(*id)) {
+        for id in marked.iter().filter(|id| !membership.bans().contains_key(*id)) {
             let _ = self.fleet.ban(id).await;
         }
-        for id in before.difference(&out).filter(|id| membership.bans().contains_key(*id)) {
+        for id in previously_marked.difference(&marked).filter(|id| membership.bans().contains_key(*id)) {
             let _ = self.fleet.lift(id).await;
         }
         self.fleet.returned(&returns);
     }
 
-    /// Carries out what the planner wants of the fleet, but for probes that are another's duty.
-    pub async fn tend(self: Rc<Self>, core: Core, mut orders: mpsc::UnboundedReceiver<FleetOrder>) {
-        while let Some(order) = orders.recv().await {
-            match order {
-                FleetOrder::Close(host) => core.upstream.pool().close_idle(host),
-                FleetOrder::Suspect(host, failures) => log_suspect(&core, host, failures),
-                FleetOrder::Probe(host) => {
+    /// Carries out the planner's commands for the fleet, except probes for which another conductor is responsible.
+    pub async fn run_fleet_commands(
+        self: Rc<Self>, core: Core, mut commands: mpsc::UnboundedReceiver<FleetCommand>,
+    ) {
+        while let Some(command) = commands.recv().await {
+            match command {
+                FleetCommand::CloseIdleConnections(host) => core.upstream.pool().close_idle(host),
+                FleetCommand::ReportSuspect(host, failures) => log_suspect(&core, host, failures),
+                FleetCommand::Probe(host) => {
                     if !self.handle.duties.mine(|| self.clock.now(), u64::from(host.0)) {
                         add(&core.counters.probes_left);
                         continue;
@@ -144,29 +153,30 @@
                     let (core, shared) = (core.clone(), self.clone());
                     tokio::task::spawn_local(async move {
                         let (outcome, load) = core.upstream.probe(host).await;
-                        shared.found(host, outcome, load.as_ref());
-                        core.planner.probed(host, outcome, load);
+                        shared.report_observation(host, outcome, load.as_ref());
+                        core.planner.probe_ended(host, outcome, load);
                     });
                 }
-                FleetOrder::Failed(host) => {
+                FleetCommand::ReportFailure(host) => {
                     let now = self.clock.now();
-                    let lately = |at: &Micros| now < at.saturating_add(FAILURE_EVERY);
-                    let mut told = self.told.borrow_mut();
-                    told.retain(|_, at| lately(at));
-                    let news = !told.contains_key(&host);
-                    told.entry(host).or_insert(now);
-                    drop(told);
-                    if news {
-                        self.found(host, Outcome::Unreachable, None);
+                    let is_recent = |at: &Micros| now < at.saturating_add(MIN_FAILURE_REPORT_INTERVAL_US);
+                    let mut reported_at = self.failures_reported_at.borrow_mut();
+                    reported_at.retain(|_, at| is_recent(at));
+                    let is_due = !reported_at.contains_key(&host);
+                    reported_at.entry(host).or_insert(now);
+                    drop(reported_at);
+                    if is_due {
+                        self.report_observation(host, Outcome::Unreachable, None);
                     }
                 }
             }
         }
     }
 
-    fn found(&self, host: HostId, outcome: Outcome, load: Option<&Load>) {
+    /// Reports to the other conductors how a probe or an attempt found an instance.
+    fn report_observation(&self, host: HostId, outcome: Outcome, load: Option<&Load>) {
         let failed = matches!(outcome, Outcome::Unreachable | Outcome::TimedOut);
-        let (in_flight, memory) = (load.and_then(|l| l.in_flight), load.and_then(|l| l.memory));
+        let (in_flight, memory) = (load.and_then(|load| load.in_flight), load.and_then(|load| load.memory));
         if let Some(id) = self.fleet.named(host) {
             self.handle.tell(StateUpdate::Report(id, Report { failed, in_flight, memory }));
         }
--- a/src/node/uninterrupted.rs
+++ b/src/node/uninterrupted.rs
@@ -1,5 +1,5 @@
-//! Sockets on which a call that a signal broke off is made again. The runtime passes such an error on, and the HTTP library
-//! would end the connection over it.
+//! A socket wrapper that repeats calls interrupted by a signal (`EINTR`). The runtime passes such an error on, and the HTTP
+//! library would close the connection because of it.
 
 use std::io::{self, ErrorKind};
 use std::pin::Pin;
@@ -7,43 +7,43 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Calls made again at once, before others have their turn.
-const AT_ONCE: usize = 8;
+/// Number of calls in one poll. If all of them are interrupted, the task yields so that others can run.
+const MAX_CALLS_PER_POLL: usize = 8;
 
-/// A socket whose calls are made again where a signal broke them off.
-pub struct Uninterrupted<I>(pub I);
+/// A socket that repeats calls interrupted by a signal.
+pub struct RetryInterrupted<I>(pub I);
 
-/// Makes the call again while it is broken off.
-fn uninterrupted<T>(
+/// Repeats a call until it is not interrupted by a signal, up to [`MAX_CALLS_PER_POLL`] calls.
+fn retry_interrupted<T>(
     cx: &mut Context<'_>, mut call: impl FnMut(&mut Context<'_>) -> Poll<io::Result<T>>,
 ) -> Poll<io::Result<T>> {
-    for _ in 0..AT_ONCE {
+    for _ in 0..MAX_CALLS_PER_POLL {
         match call(cx) {
-            Poll::Ready(Err(fault)) if fault.kind() == ErrorKind::Interrupted => {}
-            done => return done,
+            Poll::Ready(Err(error)) if error.kind() == ErrorKind::Interrupted => {}
+            completed => return completed,
         }
     }
     cx.waker().wake_by_ref();
     Poll::Pending
 }
 
-impl<I: AsyncRead + Unpin> AsyncRead for Uninterrupted<I> {
+impl<I: AsyncRead + Unpin> AsyncRead for RetryInterrupted<I> {
     fn poll_read(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        uninterrupted(cx, |cx| Pin::new(&mut self.0).poll_read(cx, buf))
+        retry_interrupted(cx, |cx| Pin::new(&mut self.0).poll_read(cx, buf))
     }
 }
 
-impl<I: AsyncWrite + Unpin> AsyncWrite for Uninterrupted<I> {
+impl<I: AsyncWrite + Unpin> AsyncWrite for RetryInterrupted<I> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
-        uninterrupted(cx, |cx| Pin::new(&mut self.0).poll_write(cx, data))
+        retry_interrupted(cx, |cx| Pin::new(&mut self.0).poll_write(cx, data))
     }
 
     fn poll_write_vectored(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        uninterrupted(cx, |cx| Pin::new(&mut self.0).poll_write_vectored(cx, data))
+        retry_interrupted(cx, |cx| Pin::new(&mut self.0).poll_write_vectored(cx, data))
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -51,11 +51,11 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        uninterrupted(cx, |cx| Pin::new(&mut self.0).poll_flush(cx))
+        retry_interrupted(cx, |cx| Pin::new(&mut self.0).poll_flush(cx))
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        uninterrupted(cx, |cx| Pin::new(&mut self.0).poll_shutdown(cx))
+        retry_interrupted(cx, |cx| Pin::new(&mut self.0).poll_shutdown(cx))
     }
 }
 
--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -19,7 +19,7 @@
 use crate::api::{HostId, Load, Micros, Outcome, Role};
 use crate::node::counters::{Counters, add};
 use crate::node::log_sampler::LogSampler;
-use crate::node::request::Wanted;
+use crate::node::request::ClientPresence;
 
 /// Most of an answer without a stream that is read.
 const ANSWER_MOST: usize = 256 * 1024;
@@ -178,7 +178,7 @@
     /// known to have heard of an end without its answer.
     pub async fn first(
         self: &Rc<Self>, host: HostId, payload: &Payload, until: Instant,
-        (wanted, witness): (Wanted, Option<EndWitness>),
+        (wanted, witness): (ClientPresence, Option<EndWitness>),
     ) -> (First, Option<Load>) {
         let (begun, mut written) = (Instant::now(), None);
         if begun >= until {
@@ -204,7 +204,8 @@
 
     async fn exchange(
         self: &Rc<Self>, host: HostId, payload: &Payload,
-        (until, wanted, witness): (Instant, Wanted, Option<EndWitness>), written: &mut Option<WriteMark>,
+        (until, wanted, witness): (Instant, ClientPresence, Option<EndWitness>),
+        written: &mut Option<WriteMark>,
     ) -> (First, Option<Load>) {
         let ended = |outcome| (First::Ended(outcome), None);
         let check = SendCheck::Attempt { wanted, until };
--- a/src/node/upstream/lease_keeper.rs
+++ b/src/node/upstream/lease_keeper.rs
@@ -13,7 +13,7 @@
 use super::release::{ReleaseReason, release};
 use crate::api::{Micros, Outcome};
 use crate::logic::lease::{AttemptEnd, Lease};
-use crate::node::span;
+use crate::node::to_duration;
 
 /// For a release before the next read: one that arrives later would let go of that read's state, too.
 const RELEASE_FIRST: Duration = Duration::from_millis(250);
@@ -160,7 +160,7 @@
                 self.release(&mut inbox, &mut over).await;
                 continue;
             }
-            let due_at = self.start + span(due.unwrap_or_default());
+            let due_at = self.start + to_duration(due.unwrap_or_default());
             tokio::select! {
                 biased;
                 happening = inbox.recv(), if !over => match happening {
--- a/src/node/upstream/socket.rs
+++ b/src/node/upstream/socket.rs
@@ -14,8 +14,8 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::node::request::Wanted;
-use crate::node::uninterrupted::Uninterrupted;
+use crate::node::request::ClientPresence;
+use crate::node::uninterrupted::RetryInterrupted;
 
 /// How far a request has been written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -92,7 +92,7 @@
     /// A client's request: its instance takes new work, its client waits, and the time of the attempt is not over.
     Attempt {
         /// Whether the client waits.
-        wanted: Wanted,
+        wanted: ClientPresence,
         /// When the attempt is given up.
         until: Instant,
     },
@@ -106,7 +106,7 @@
 /// The socket. An attempt whose last byte was never written is known never to have run: hyper flushes the socket only once
 /// its own buffer is empty.
 pub struct CheckedSocket {
-    socket: Uninterrupted<TcpStream>,
+    socket: RetryInterrupted<TcpStream>,
     mark: WriteMark,
     check: Rc<RefCell<SendCheck>>,
     takes_new_work: Rc<Cell<bool>>,
@@ -116,7 +116,7 @@
     /// A socket to an instance of which `takes_new_work` tells whether it may be sent any.
     pub fn new(socket: TcpStream, takes_new_work: Rc<Cell<bool>>) -> Self {
         CheckedSocket {
-            socket: Uninterrupted(socket),
+            socket: RetryInterrupted(socket),
             mark: WriteMark::default(),
             check: Rc::default(),
             takes_new_work,
@@ -132,7 +132,7 @@
         let why = match self.check.take() {
             SendCheck::Passed => return Ok(()),
             _ if !self.takes_new_work.get() => HeldBack::Drains,
-            SendCheck::Attempt { wanted, .. } if !wanted.holds() => HeldBack::ClientGone,
+            SendCheck::Attempt { wanted, .. } if !wanted.is_waiting() => HeldBack::ClientGone,
             SendCheck::Attempt { until, .. } if Instant::now() >= until => HeldBack::TooLate,
             SendCheck::Attempt { .. } | SendCheck::Probe => return Ok(()),
         };
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -19,7 +19,7 @@
 use croftsill::node::process::readiness::Happening;
 use croftsill::node::process::schedule::GracePeriod;
 use croftsill::node::process::shutdown::Shutdown;
-use croftsill::node::request::{Answer, Caller, live};
+use croftsill::node::request::{Answer, Responder, handle_request};
 use croftsill::node::upstream::attempt::{Dialect, First, Payload, Upstream};
 use croftsill::node::upstream::pool::{Pool, PoolLimits, Reuse, Site};
 use croftsill::node::{Clock, Core};
@@ -153,9 +153,9 @@
         assert!(upstream.release_at(HOST, "0a", Reuse::Kept).await, "a release");
         sleep(SETTLED).await;
         instance.close_all_in_this_moment().await;
-        let (caller, _answer) = Caller::new("0a".into());
+        let (caller, _answer) = Responder::new("0a".into());
         let until = Instant::now() + Duration::from_secs(3);
-        let (first, _) = upstream.first(HOST, &payload(), until, (caller.wanted(), None)).await;
+        let (first, _) = upstream.first(HOST, &payload(), until, (caller.client_presence(), None)).await;
         assert!(matches!(first, First::Read(_)), "a request");
         let heads = instance.heads.borrow();
         let methods: Vec<_> = heads.iter().filter_map(|head| head.split(' ').next()).collect();
@@ -172,9 +172,9 @@
         let upstream = upstream_to(&instance).await;
         assert_eq!(upstream.probe(HOST).await.0, Outcome::Served);
         sleep(SETTLED).await;
-        let (caller, _answer) = Caller::new("0a".into());
+        let (caller, _answer) = Responder::new("0a".into());
         let over = Instant::now() - Duration::from_millis(1);
-        let (first, _) = upstream.first(HOST, &payload(), over, (caller.wanted(), None)).await;
+        let (first, _) = upstream.first(HOST, &payload(), over, (caller.client_presence(), None)).await;
         assert!(matches!(first, First::Ended(Outcome::Moot)));
         sleep(SETTLED).await;
         assert_eq!(instance.heads.borrow().len(), 1, "the probe alone");
@@ -193,8 +193,11 @@
         let upstream = Rc::new(Upstream::new(pool, Dialect::Platform { pin_limit: 1_000_000 }, counters));
         let within = Duration::from_millis(500);
         let attempt = spawn_local(async move {
-            let (caller, _answer) = Caller::new("0a".into());
-            upstream.first(HOST, &payload(), Instant::now() + within, (caller.wanted(), None)).await.0
+            let (caller, _answer) = Responder::new("0a".into());
+            upstream
+                .first(HOST, &payload(), Instant::now() + within, (caller.client_presence(), None))
+                .await
+                .0
         });
         let (mut socket, _) = listener.accept().await.expect("a connection");
         let mut request = Vec::new();
@@ -223,15 +226,16 @@
         };
         let upstream =
             Rc::new(Upstream::new(pool, Dialect::Platform { pin_limit: 1_000_000 }, counters.clone()));
-        let core = Core { planner, upstream, counters: counters.clone(), policy_gate: PolicyGate::open() };
-        let (caller, answer) = Caller::new("0a".into());
+        let core =
+            Core { planner, upstream, counters: counters.clone(), policy_gate: PolicyGate::always_open() };
+        let (caller, answer) = Responder::new("0a".into());
         let ask = NewRequest {
             prompt_tokens: 100.0,
             max_output_tokens: 10.0,
             time_left: 1_000_000,
             ..Default::default()
         };
-        spawn_local(live(core, ask, (payload(), ()), caller));
+        spawn_local(handle_request(core, ask, (payload(), ()), caller));
         let given = answer.await.expect("an answer").answer;
         assert!(matches!(given, Answer::Refused { .. }));
         assert_eq!(counters.overdue.get(), 1);
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -19,7 +19,7 @@
 use croftsill::node::process::schedule::GracePeriod;
 use croftsill::node::process::shutdown::Shutdown;
 use croftsill::node::process::start::{Given, become_ready};
-use croftsill::node::request::Caller;
+use croftsill::node::request::Responder;
 use croftsill::node::upstream::attempt::{Dialect, First, Payload, Upstream};
 use croftsill::node::upstream::pool::{LocalFaults, Pool, PoolLimits, Reuse, Site};
 use croftsill::node::upstream::socket::SendCheck;
@@ -231,7 +231,7 @@
     let (planner, _orders) = Planner::start(settings.clone(), seed, clock, None);
     let pool = Rc::new(Pool::new(limits, counters.clone()));
     let upstream = Rc::new(Upstream::new(pool, Dialect::Platform { pin_limit: 1_000_000 }, counters.clone()));
-    (Core { planner, upstream, counters, policy_gate: PolicyGate::open() }, clock)
+    (Core { planner, upstream, counters, policy_gate: PolicyGate::always_open() }, clock)
 }
 
 fn conductor(
@@ -454,7 +454,7 @@
                         spawn_local(become_ready(
                             told,
                             given,
-                            PolicyGate::open(),
+                            PolicyGate::always_open(),
                             caught_up,
                             shutdown.clone(),
                         ));
@@ -495,8 +495,8 @@
                 let (upstream, payload) = (upstream.clone(), payload.clone());
                 let until = Instant::now() + Duration::from_secs(3);
                 spawn_local(async move {
-                    let (caller, _answer) = Caller::new(payload.id.clone());
-                    upstream.first(host, &payload, until, (caller.wanted(), None)).await.0
+                    let (caller, _answer) = Responder::new(payload.id.clone());
+                    upstream.first(host, &payload, until, (caller.client_presence(), None)).await.0
                 })
             };
             upstream.pool().place(host, site(true));
@@ -542,11 +542,11 @@
             upstream.pool().place(host, Some(Site { name: "r1".into(), addr, role, ready: true }));
             let payload = payload();
             let send = || {
-                let (caller, answer) = Caller::new(payload.id.clone());
+                let (caller, answer) = Responder::new(payload.id.clone());
                 let (upstream, payload) = (upstream.clone(), payload.clone());
                 let until = Instant::now() + Duration::from_secs(3);
                 let attempt = spawn_local(async move {
-                    upstream.first(host, &payload, until, (caller.wanted(), None)).await.0
+                    upstream.first(host, &payload, until, (caller.client_presence(), None)).await.0
                 });
                 (attempt, answer)
             };
