--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -70,9 +70,9 @@
     pub fn read_both(&self) -> ClockReading {
         let mut attempts = 0;
         loop {
-            let reading = ClockReading { now: self.now(), unix: unix_micros() };
+            let reading = ClockReading { monotonic: self.now(), unix: unix_micros() };
             attempts += 1;
-            if self.now() - reading.now < MAX_CLOCK_READ_US || attempts == MAX_CLOCK_READ_ATTEMPTS {
+            if self.now() - reading.monotonic < MAX_CLOCK_READ_US || attempts == MAX_CLOCK_READ_ATTEMPTS {
                 return reading;
             }
         }
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -17,8 +17,8 @@
 use crate::control::controller::{Handle, StateUpdate};
 use crate::replica::marks::{Marks, Subject};
 use crate::replica::share::ShareEvent;
-use crate::replica::store::Report;
-use crate::replica::sync::CATCH_UP_MOST;
+use crate::replica::store::InstanceReport;
+use crate::replica::sync::CATCH_UP_TIMEOUT_US;
 
 /// Interval at which spending and estimates are reported.
 const ESTIMATES_REPORT_INTERVAL: Duration = Duration::from_millis(200);
@@ -60,7 +60,7 @@
     pub async fn wait_until_caught_up(&self) {
         let mut catch_up_result = self.catch_up_result.subscribe();
         // The ledger's thread has its own time limit; this one only guards against the end of that thread.
-        let time_limit = Duration::from_micros(2 * CATCH_UP_MOST as u64);
+        let time_limit = Duration::from_micros(2 * CATCH_UP_TIMEOUT_US as u64);
         let result = timeout(time_limit, catch_up_result.wait_for(Option::is_some)).await;
         if !matches!(result, Ok(Ok(result)) if *result == Some(true)) {
             tracing::warn!(
@@ -99,14 +99,14 @@
             ShareEvent::Others(spending) => planner.update_peer_spending(spending),
             ShareEvent::Reports(reports) => {
                 for (instance, report) in reports {
-                    let Some(host) = self.fleet.known(&instance) else { continue };
+                    let Some(host) = self.fleet.host(&instance) else { continue };
                     add(&self.fleet.core().counters.reports_heard);
                     let outcome = if report.failed { Outcome::Unreachable } else { Outcome::Served };
                     planner.probe_ended(host, outcome, Some(report.load()).filter(|_| !report.failed));
                 }
             }
             ShareEvent::Marks(marks, returns) => {
-                let is_drained = marks.since(&Subject::Conductor(me.into())).is_some();
+                let is_drained = marks.marked_since(&Subject::Conductor(me.into())).is_some();
                 *self.marks_and_returns.borrow_mut() = (marks, returns);
                 self.apply_marks().await;
                 if self.is_drained.replace(is_drained) != is_drained {
@@ -125,16 +125,16 @@
             Subject::Instance(id) => Some(id.clone()),
             Subject::Conductor(_) => None,
         };
-        let marked: BTreeSet<String> = marks.all().filter_map(instance_id).collect();
+        let marked: BTreeSet<String> = marks.iter().filter_map(instance_id).collect();
         let previously_marked = self.banned_by_marks.replace(marked.clone());
         let membership = self.fleet.membership();
         for id in marked.iter().filter(|id| !membership.bans().contains_key(*id)) {
             let _ = self.fleet.ban(id).await;
         }
         for id in previously_marked.difference(&marked).filter(|id| membership.bans().contains_key(*id)) {
-            let _ = self.fleet.lift(id).await;
+            let _ = self.fleet.lift_ban(id).await;
         }
-        self.fleet.returned(&returns);
+        self.fleet.merge_returns(&returns);
     }
 
     /// Carries out the planner's commands for the fleet, except probes for which another conductor is responsible.
@@ -177,8 +177,8 @@
     fn report_observation(&self, host: HostId, outcome: Outcome, load: Option<&Load>) {
         let failed = matches!(outcome, Outcome::Unreachable | Outcome::TimedOut);
         let (in_flight, memory) = (load.and_then(|load| load.in_flight), load.and_then(|load| load.memory));
-        if let Some(id) = self.fleet.named(host) {
-            self.handle.tell(StateUpdate::Report(id, Report { failed, in_flight, memory }));
+        if let Some(id) = self.fleet.instance_id(host) {
+            self.handle.tell(StateUpdate::Report(id, InstanceReport { failed, in_flight, memory }));
         }
     }
 }
