--- a/src/node/list/fleet.rs
+++ b/src/node/list/fleet.rs
@@ -11,7 +11,7 @@
 use super::start_times::StartTimes;
 use crate::api::*;
 use crate::node::counters::add;
-use crate::node::upstream::pool::Site;
+use crate::node::upstream::pool::Endpoint;
 use crate::node::{Clock, Core};
 use crate::wire::Names;
 
@@ -153,7 +153,7 @@
     /// Stops the reuse of idle connections to an instance: they were opened to its process before the restart.
     fn distrust_connections(&self, id: &str) {
         if let Some(host) = self.host(id) {
-            self.core.upstream.pool().distrust(host);
+            self.core.upstream.pool().mark_unresponsive(host);
         }
     }
 
@@ -172,7 +172,7 @@
                 TargetState::Terminating => Phase::Draining,
                 TargetState::Gone => Phase::Gone,
             };
-            let (zone, kind, phase, role) = match (zone, kind, pool.site(host)) {
+            let (zone, kind, phase, role) = match (zone, kind, pool.endpoint(host)) {
                 (Some(zone), Some(kind), _) => (zone, kind, phase, self.settings.kinds[kind].role),
                 // A known instance whose zone or kind is now unknown gets no new work.
                 (_, _, Some(site)) => {
@@ -190,12 +190,12 @@
                 }
             };
             let name = target.id.as_str().into();
-            let site = Site { name, addr: target.addr, role, ready: phase == Phase::Serving };
+            let site = Endpoint { name, addr: target.addr, role, is_ready: phase == Phase::Serving };
             if phase == Phase::Gone {
                 self.host_numbers.borrow_mut().remove(&target.id);
                 start_times.remove(&target.id);
             }
-            pool.place(host, Some(site).filter(|_| phase != Phase::Gone));
+            pool.set_endpoint(host, Some(site).filter(|_| phase != Phase::Gone));
             members.push(Member {
                 host,
                 zone: ZoneId(zone),
@@ -208,7 +208,10 @@
         if full {
             let listed: HashSet<HostId> = members.iter().map(|member| member.host).collect();
             let is_listed = |host: &HostId| listed.contains(host);
-            pool.hosts().into_iter().filter(|host| !is_listed(host)).for_each(|host| pool.place(host, None));
+            pool.hosts()
+                .into_iter()
+                .filter(|host| !is_listed(host))
+                .for_each(|host| pool.set_endpoint(host, None));
             self.host_numbers.borrow_mut().retain(is_listed);
             start_times.retain(|id| self.host_numbers.borrow().hosts.contains_key(id));
         }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -104,7 +104,7 @@
 
 /// Logs that an instance has failed several times in a row.
 pub fn log_suspect(core: &Core, host: HostId, failures: u32) {
-    let instance = core.upstream.pool().name(host);
+    let instance = core.upstream.pool().instance_name(host);
     tracing::warn!(%instance, failures, "planner: instance fails repeatedly; it gets one attempt at a time");
 }
 
--- a/src/node/policy_gate.rs
+++ b/src/node/policy_gate.rs
@@ -109,7 +109,7 @@
             if let Some(policy) = active.policy.as_ref().filter(|_| active.revision != applied_revision) {
                 applied_revision = active.revision;
                 intake.limit(policy.client_connections);
-                pool.limit(policy.instance_connections);
+                pool.set_connection_limit(policy.instance_connections);
             }
         }
     }
--- a/src/node/request.rs
+++ b/src/node/request.rs
@@ -16,11 +16,11 @@
 use super::{Core, to_duration};
 use crate::api::{AttemptId, HostId, Load, Micros, NewRequest, Outcome};
 use crate::control::state::Revision;
-use crate::node::upstream::attempt::{First, Payload};
-use crate::node::upstream::events::{Form, Piece, StreamBroken};
+use crate::node::upstream::attempt::{InitialResult, Payload};
+use crate::node::upstream::events::{AnswerHead, StreamChunk, StreamError};
 use crate::node::upstream::lease_keeper::LeaseKeeper;
-use crate::node::upstream::pool::EndWitness;
-use crate::node::upstream::relay::{self, Passed};
+use crate::node::upstream::pool::CloseGuard;
+use crate::node::upstream::relay::{self, RelayEnd};
 use crate::node::upstream::release::ReleaseReason;
 
 /// Time past the deadline after which a request without a decision gets its final answer here. The answer slack that the rules
@@ -32,9 +32,9 @@
     /// A stream, or an answer in one piece, of one instance.
     Events {
         /// The form of the answer, as the instance declared it.
-        form: Form,
+        form: AnswerHead,
         /// The bytes of the answer as they arrive.
-        pieces: mpsc::Receiver<Piece>,
+        pieces: mpsc::Receiver<StreamChunk>,
     },
     /// The request was rejected, and a retry is safe.
     Refused {
@@ -161,9 +161,9 @@
         core: &'a Core, request: &Rc<str>, number: AttemptId, host: HostId, attempt_deadline: Instant,
     ) -> Self {
         let (request, instance, started_at) =
-            (request.clone(), core.upstream.pool().name(host), Instant::now());
+            (request.clone(), core.upstream.pool().instance_name(host), Instant::now());
         let time_out_ms = attempt_deadline.saturating_duration_since(started_at).as_millis() as u64;
-        let reads = core.upstream.reads(host);
+        let reads = core.upstream.is_reader(host);
         tracing::debug!(%request, attempt = number.0, %instance, reads, time_out_ms, "attempt: begun");
         AttemptTrace { core, request, number, instance, started_at, is_answered: false }
     }
@@ -173,7 +173,7 @@
         let (attempt, took_ms) = (number.0, started_at.elapsed().as_millis() as u64);
         tracing::debug!(%request, attempt, %instance, ?outcome, took_ms, "attempt: ended");
         let is_unanswered = !self.is_answered && matches!(outcome, Outcome::TimedOut | Outcome::Broken);
-        if let Some(left_out) = is_unanswered.then(|| core.upstream.log_unanswered()).flatten() {
+        if let Some(left_out) = is_unanswered.then(|| core.upstream.sample_unanswered()).flatten() {
             tracing::info!(%request, attempt, %instance, ?outcome, took_ms, left_out, "attempt: no answer");
         }
     }
@@ -242,7 +242,7 @@
                 break;
             }
             Wakeup::Command(RequestCommand::Release) => {
-                lease.release(ReleaseReason::Ordered);
+                lease.request_release(ReleaseReason::Ordered);
                 continue;
             }
             Wakeup::Command(RequestCommand::ConfirmClientLeft) => break,
@@ -280,24 +280,24 @@
         }
 
         // 2. The attempt, until it ends, is cancelled, or its stream begins.
-        let is_reader = core.upstream.reads(host);
+        let is_reader = core.upstream.is_reader(host);
         if is_reader {
             tokio::select! {
                 biased;
                 // The check before the first byte stops the attempt, and the departure is handled below.
                 () = responder.client_left() => {}
-                () = lease.before_read() => {}
+                () = lease.prepare_read() => {}
             }
         }
         let attempt_deadline = (started_at + to_duration(timeout)).min(deadline);
-        let end_witness = if is_reader { Some(lease.read_sent()) } else { None };
+        let close_guard = if is_reader { Some(lease.read_sent()) } else { None };
         if !is_reader {
             lease.write_sent();
         }
         let mut trace = AttemptTrace::start(core, &payload.id, attempt, host, attempt_deadline);
         let (first, load) = run_attempt(
             core,
-            (host, attempt, attempt_deadline, end_witness),
+            (host, attempt, attempt_deadline, close_guard),
             &payload,
             &mut handle,
             &mut responder,
@@ -306,17 +306,17 @@
         )
         .await;
         let mut events = match first {
-            First::Began(events) => events,
-            First::Read(cached_tokens) => {
+            InitialResult::Streaming(events) => events,
+            InitialResult::PromptRead(cached_tokens) => {
                 trace.end(Outcome::Read);
-                lease.ended(Outcome::Read);
+                lease.attempt_ended(Outcome::Read);
                 let (outcome, is_final, report) = count_end(Outcome::Read, is_settled, cached_tokens, load);
                 handle.attempt_ended(attempt, host, outcome, is_final, report);
                 if is_settled { break } else { continue }
             }
-            First::Ended(outcome) => {
+            InitialResult::Ended(outcome) => {
                 trace.end(outcome);
-                lease.ended(outcome);
+                lease.attempt_ended(outcome);
                 let (outcome, is_final, report) = count_end(outcome, is_settled, 0.0, load);
                 handle.attempt_ended(attempt, host, outcome, is_final, report);
                 if is_settled { break } else { continue }
@@ -326,33 +326,33 @@
         // 3. The stream. From its first event on it belongs to the client: no deadline applies and the request is never sent
         // again. The payload is dropped here because it is far larger than the buffered events.
         drop((payload, permit));
-        lease.stream_began();
+        lease.stream_started();
         trace.is_answered = true;
         if !is_unary {
             // An answer in one piece does not show the time to first token.
             handle.first_token(attempt, host, started_at.elapsed().as_micros() as Micros);
         }
-        let (pieces, receiver) = mpsc::channel(relay::WAITING);
-        let form = events.form().clone();
+        let (pieces, receiver) = mpsc::channel(relay::MAX_WAITING_CHUNKS);
+        let form = events.head().clone();
         let passed = if is_settled || !responder.answer(Answer::Events { form, pieces: receiver }) {
-            Passed::ClientLeft
+            RelayEnd::ClientLeft
         } else {
             tokio::select! {
-                passed = relay::pass(&mut events, &pieces) => passed,
+                passed = relay::forward_events(&mut events, &pieces) => passed,
                 () = move_requested(&mut handle) => {
                     // The client sends the request again to resume the stream.
-                    let _ = pieces.try_send(Err(StreamBroken::Cut));
-                    Passed::Broken(StreamBroken::Cut)
+                    let _ = pieces.try_send(Err(StreamError::Cut));
+                    RelayEnd::Broken(StreamError::Cut)
                 }
             }
         };
         drop((events, pieces));
         let outcome = match passed {
-            Passed::Whole => (add(&counters.served), Outcome::Served).1,
-            Passed::Broken(StreamBroken::Cut) => (add(&counters.broken), Outcome::Broken).1,
-            Passed::Broken(StreamBroken::Spoilt) => (add(&counters.broken), Outcome::Spoilt).1,
-            Passed::Failed => (add(&counters.failed), Outcome::Error).1,
-            Passed::ClientLeft => {
+            RelayEnd::Complete => (add(&counters.served), Outcome::Served).1,
+            RelayEnd::Broken(StreamError::Cut) => (add(&counters.broken), Outcome::Broken).1,
+            RelayEnd::Broken(StreamError::Malformed) => (add(&counters.broken), Outcome::Spoilt).1,
+            RelayEnd::ErrorEvent => (add(&counters.failed), Outcome::Error).1,
+            RelayEnd::ClientLeft => {
                 if !is_settled {
                     add(&counters.left);
                     handle.client_left();
@@ -370,13 +370,17 @@
 /// Runs one attempt until its stream begins or it ends. If the client leaves, the planner is notified and cancels the attempt.
 async fn run_attempt(
     core: &Core,
-    (host, attempt, attempt_deadline, end_witness): (HostId, AttemptId, Instant, Option<EndWitness>),
+    (host, attempt, attempt_deadline, close_guard): (HostId, AttemptId, Instant, Option<CloseGuard>),
     payload: &Payload, handle: &mut RequestHandle, responder: &mut Responder, is_settled: &mut bool,
     overdue_at: Instant,
-) -> (First, Option<Load>) {
-    let cancelled = (First::Ended(Outcome::Cancelled), None);
-    let first =
-        core.upstream.first(host, payload, attempt_deadline, (responder.client_presence(), end_witness));
+) -> (InitialResult, Option<Load>) {
+    let cancelled = (InitialResult::Ended(Outcome::Cancelled), None);
+    let first = core.upstream.start_attempt(
+        host,
+        payload,
+        attempt_deadline,
+        (responder.client_presence(), close_guard),
+    );
     tokio::pin!(first);
     loop {
         tokio::select! {
