--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -16,7 +16,7 @@
 use crate::api::{HostId, Load, Micros, Outcome};
 use crate::control::controller::{Handle, StateUpdate};
 use crate::replica::marks::{Marks, Subject};
-use crate::replica::share::ShareEvent;
+use crate::replica::share::SharedStateEvent;
 use crate::replica::store::InstanceReport;
 use crate::replica::sync::CATCH_UP_TIMEOUT_US;
 
@@ -72,7 +72,7 @@
     /// Exchanges updates with the ledger's thread until that thread ends. `me` is this conductor's name; `on_drain_change` is
     /// called when operators start or end its drain.
     pub async fn run(
-        self: Rc<Self>, me: String, mut events: mpsc::UnboundedReceiver<ShareEvent>,
+        self: Rc<Self>, me: String, mut events: mpsc::UnboundedReceiver<SharedStateEvent>,
         on_drain_change: impl Fn(bool),
     ) {
         let mut ticks = interval(ESTIMATES_REPORT_INTERVAL);
@@ -93,11 +93,11 @@
         }
     }
 
-    async fn handle_event(&self, me: &str, event: ShareEvent, on_drain_change: &impl Fn(bool)) {
+    async fn handle_event(&self, me: &str, event: SharedStateEvent, on_drain_change: &impl Fn(bool)) {
         let planner = &self.fleet.core().planner;
         match event {
-            ShareEvent::Others(spending) => planner.update_peer_spending(spending),
-            ShareEvent::Reports(reports) => {
+            SharedStateEvent::OthersSpending(spending) => planner.update_peer_spending(spending),
+            SharedStateEvent::Reports(reports) => {
                 for (instance, report) in reports {
                     let Some(host) = self.fleet.host(&instance) else { continue };
                     add(&self.fleet.core().counters.reports_heard);
@@ -105,7 +105,7 @@
                     planner.probe_ended(host, outcome, Some(report.load()).filter(|_| !report.failed));
                 }
             }
-            ShareEvent::Marks(marks, returns) => {
+            SharedStateEvent::Marks(marks, returns) => {
                 let is_drained = marks.marked_since(&Subject::Conductor(me.into())).is_some();
                 *self.marks_and_returns.borrow_mut() = (marks, returns);
                 self.apply_marks().await;
@@ -113,8 +113,8 @@
                     on_drain_change(is_drained);
                 }
             }
-            ShareEvent::Learnt(figures) => planner.adopt_estimates(figures.curves, figures.means),
-            ShareEvent::CaughtUp(succeeded) => drop(self.catch_up_result.send_replace(Some(succeeded))),
+            SharedStateEvent::Learnt(figures) => planner.adopt_estimates(figures.curves, figures.means),
+            SharedStateEvent::CaughtUp(succeeded) => drop(self.catch_up_result.send_replace(Some(succeeded))),
         }
     }
 
@@ -146,7 +146,7 @@
                 FleetCommand::CloseIdleConnections(host) => core.upstream.pool().close_idle(host),
                 FleetCommand::ReportSuspect(host, failures) => log_suspect(&core, host, failures),
                 FleetCommand::Probe(host) => {
-                    if !self.handle.duties.mine(|| self.clock.now(), u64::from(host.0)) {
+                    if !self.handle.duties.is_assigned(|| self.clock.now(), u64::from(host.0)) {
                         add(&core.counters.probes_left);
                         continue;
                     }
