--- a/src/node/front/chat.rs
+++ b/src/node/front/chat.rs
@@ -31,10 +31,10 @@
 use crate::node::process::shutdown::Shutdown;
 use crate::node::request::Answer;
 #[cfg(feature = "cluster")]
-use crate::node::span;
+use crate::node::to_duration;
 use crate::node::upstream::attempt::Payload;
 #[cfg(feature = "cluster")]
-use crate::replica::idempotency::{Decision, NAME_MOST, Name, Stage};
+use crate::replica::idempotency::{ClaimDecision, MAX_IDEMPOTENCY_KEY_BYTES, RequestName, Stage};
 
 /// Tells clients whether to try again by themselves.
 const SHOULD_RETRY: HeaderName = HeaderName::from_static("x-should-retry");
@@ -218,23 +218,23 @@
         let (Some(handle), Some(given)) = (&self.conductors, given.filter(|_| !repeats)) else {
             return Ok(None);
         };
-        let fits = |text: &&str| (1..=NAME_MOST).contains(&text.len());
+        let fits = |text: &&str| (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&text.len());
         let text = given.to_str().ok().filter(fits);
         let text = text.ok_or_else(|| {
-            Fault::Invalid(format!("{IDEMPOTENCY_KEY}: 1 to {NAME_MOST} visible characters"))
+            Fault::Invalid(format!("{IDEMPOTENCY_KEY}: 1 to {MAX_IDEMPOTENCY_KEY_BYTES} visible characters"))
         })?;
         let scope = if let Peer::Allowed(id) = &self.peer { id } else { "" };
-        let name = Name::new(scope, text);
+        let name = RequestName::new(scope, text);
         // A disk that flushes nothing for a while holds claims up.
         let claimed = tokio::select! {
             biased;
             claimed = handle.claim(name) => claimed,
-            () = sleep(span(ask.time_left)) => Err(Decision::Refuse),
-            () = self.shutdown.due(|schedule| schedule.answers_until) => Err(Decision::Refuse),
+            () = sleep(to_duration(ask.time_left)) => Err(ClaimDecision::Refuse),
+            () = self.shutdown.due(|schedule| schedule.answers_until) => Err(ClaimDecision::Refuse),
         };
         match claimed {
             Ok(claim) => Ok(Some(claim)),
-            Err(Decision::Known(stage)) => {
+            Err(ClaimDecision::Duplicate(stage)) => {
                 add(&self.core.counters.known_named);
                 Err(Fault::Known(stage))
             }
@@ -276,7 +276,7 @@
                 Ok(object(StatusCode::OK, &json!({"object": "list", "data": models})))
             }
             (&Method::GET, "/-/ready") => Ok(whole(StatusCode::OK, None, "ready\n".into())),
-            (&Method::GET, "/-/counters") => Ok(object(StatusCode::OK, &self.core.counters.all())),
+            (&Method::GET, "/-/counters") => Ok(object(StatusCode::OK, &self.core.counters.values_by_name())),
             (_, "/v1/models" | "/-/ready" | "/-/counters") => Err(Fault::Method("GET")),
             (_, path) => Err(Fault::Path(path.to_owned())),
         }
@@ -321,7 +321,7 @@
             }
         }
         let mut reply = match answer {
-            Answer::Events { form, pieces } if streamed && form.streamed() => {
+            Answer::Events { form, pieces } if streamed && form.is_event_stream() => {
                 let mut reply = Response::new(Either::Right(Pieces::new(pieces)));
                 form.content_type.map(|kind| reply.headers_mut().insert(CONTENT_TYPE, kind));
                 reply
@@ -331,7 +331,7 @@
                 Ok(text) => whole(form.status, form.content_type, text),
                 Err(_) => Fault::Failed.reply(),
             },
-            Answer::Refused { come_back } => Fault::Refused(come_back).reply(),
+            Answer::Refused { retry_after } => Fault::Refused(retry_after).reply(),
             Answer::Failed => Fault::Failed.reply(),
         };
         shown.map(|id| reply.headers_mut().insert(REQUEST_ID, id));
--- a/src/node/front/platform.rs
+++ b/src/node/front/platform.rs
@@ -23,9 +23,9 @@
 use crate::node::Core;
 use crate::node::counters::add;
 use crate::node::process::shutdown::Shutdown;
-use crate::node::request::{Answer, Given};
+use crate::node::request::{Answer, FinalAnswer};
 use crate::node::upstream::attempt::Payload;
-use crate::node::upstream::headers::end_to_end;
+use crate::node::upstream::headers::end_to_end_headers;
 use crate::wire::Names;
 
 /// Ids remembered after their requests have ended, to turn repeats down: minutes of a busy conductor, in under half a megabyte.
@@ -146,20 +146,20 @@
                 }
             },
             (&Method::GET, "/-/ready")
-                if self.shutdown.readiness().ready() && !self.core.policy_gate.shut() =>
+                if self.shutdown.readiness().ready() && !self.core.policy_gate.is_closed() =>
             {
                 plain(StatusCode::OK, "ready\n")
             }
             (&Method::GET, "/-/ready") => {
                 let drained = self.shutdown.readiness().drained();
-                let why = match (drained, self.core.policy_gate.shut()) {
+                let why = match (drained, self.core.policy_gate.is_closed()) {
                     (true, _) => "drained by operators\n",
                     (_, true) => "not known to the other conductors, or cut off from them\n",
                     _ => "no list of instances yet\n",
                 };
                 plain(StatusCode::SERVICE_UNAVAILABLE, why)
             }
-            (&Method::GET, "/-/counters") => plain(StatusCode::OK, self.core.counters.line() + "\n"),
+            (&Method::GET, "/-/counters") => plain(StatusCode::OK, self.core.counters.to_json_line() + "\n"),
             (_, "/-/ready" | "/-/counters") => {
                 plain(StatusCode::METHOD_NOT_ALLOWED, format!("{}\n", Malformed::Method("GET")))
             }
@@ -199,12 +199,12 @@
         let on_the_way = ON_THE_WAY.min(ask.time_left / ON_THE_WAY_PART);
         ask.time_left -= arrived.elapsed().as_micros() as Micros + on_the_way;
         let target = request.uri().path_and_query().cloned().ok_or(Malformed::Path)?;
-        let payload = Payload { id, target, headers: end_to_end(request.headers()), body };
-        let Given { answer, revision } =
+        let payload = Payload { id, target, headers: end_to_end_headers(request.headers()), body };
+        let FinalAnswer { answer, revision } =
             begin(&self.core, &self.shutdown, ask, (payload, permit), open).await;
         let mut reply = match answer {
             Answer::Events { form, pieces } => stream(form.content_type, pieces),
-            Answer::Refused { come_back } => refusal(come_back),
+            Answer::Refused { retry_after } => refusal(retry_after),
             Answer::Failed => plain(StatusCode::BAD_GATEWAY, "the request failed and may have run\n"),
         };
         revision.map(|revision| reply.headers_mut().insert(REVISION, HeaderValue::from(revision)));
@@ -321,7 +321,9 @@
     reply
 }
 
-fn stream(content_type: Option<HeaderValue>, pieces: tokio::sync::mpsc::Receiver<super::Piece>) -> Reply {
+fn stream(
+    content_type: Option<HeaderValue>, pieces: tokio::sync::mpsc::Receiver<super::StreamChunk>,
+) -> Reply {
     let mut reply = Response::new(Either::Right(Pieces::new(pieces)));
     let kind = content_type.unwrap_or(HeaderValue::from_static("text/event-stream"));
     reply.headers_mut().insert(CONTENT_TYPE, kind);
--- a/src/node/list/fleet.rs
+++ b/src/node/list/fleet.rs
@@ -11,7 +11,7 @@
 use super::start_times::StartTimes;
 use crate::api::*;
 use crate::node::counters::add;
-use crate::node::upstream::pool::Site;
+use crate::node::upstream::pool::Endpoint;
 use crate::node::{Clock, Core};
 use crate::wire::Names;
 
@@ -114,7 +114,7 @@
             self.publish(false, std::slice::from_ref(&target));
             self.distrust_connections(id);
         }
-        self.core.planner.settled().await;
+        self.core.planner.flush().await;
         Ok(())
     }
 
@@ -128,7 +128,7 @@
             self.start_times.borrow_mut().record_restart(self.clock.now(), id, target.started_ms);
             self.publish(false, std::slice::from_ref(&target));
         }
-        self.core.planner.settled().await;
+        self.core.planner.flush().await;
         Ok(())
     }
 
@@ -153,14 +153,14 @@
     /// Stops the reuse of idle connections to an instance: they were opened to its process before the restart.
     fn distrust_connections(&self, id: &str) {
         if let Some(host) = self.host(id) {
-            self.core.upstream.pool().distrust(host);
+            self.core.upstream.pool().mark_unresponsive(host);
         }
     }
 
     /// Passes instances to the planner and the pool. `full` means that all others are gone.
     fn publish(&self, full: bool, targets: &[Target]) {
         let pool = self.core.upstream.pool();
-        let (mut start_times, reading) = (self.start_times.borrow_mut(), self.clock.read());
+        let (mut start_times, reading) = (self.start_times.borrow_mut(), self.clock.read_both());
         start_times.update_clock(reading);
         let mut members = Vec::new();
         for target in targets {
@@ -172,7 +172,7 @@
                 TargetState::Terminating => Phase::Draining,
                 TargetState::Gone => Phase::Gone,
             };
-            let (zone, kind, phase, role) = match (zone, kind, pool.site(host)) {
+            let (zone, kind, phase, role) = match (zone, kind, pool.endpoint(host)) {
                 (Some(zone), Some(kind), _) => (zone, kind, phase, self.settings.kinds[kind].role),
                 // A known instance whose zone or kind is now unknown gets no new work.
                 (_, _, Some(site)) => {
@@ -190,12 +190,12 @@
                 }
             };
             let name = target.id.as_str().into();
-            let site = Site { name, addr: target.addr, role, ready: phase == Phase::Serving };
+            let site = Endpoint { name, addr: target.addr, role, is_ready: phase == Phase::Serving };
             if phase == Phase::Gone {
                 self.host_numbers.borrow_mut().remove(&target.id);
                 start_times.remove(&target.id);
             }
-            pool.place(host, Some(site).filter(|_| phase != Phase::Gone));
+            pool.set_endpoint(host, Some(site).filter(|_| phase != Phase::Gone));
             members.push(Member {
                 host,
                 zone: ZoneId(zone),
@@ -208,10 +208,13 @@
         if full {
             let listed: HashSet<HostId> = members.iter().map(|member| member.host).collect();
             let is_listed = |host: &HostId| listed.contains(host);
-            pool.hosts().into_iter().filter(|host| !is_listed(host)).for_each(|host| pool.place(host, None));
+            pool.hosts()
+                .into_iter()
+                .filter(|host| !is_listed(host))
+                .for_each(|host| pool.set_endpoint(host, None));
             self.host_numbers.borrow_mut().retain(is_listed);
             start_times.retain(|id| self.host_numbers.borrow().hosts.contains_key(id));
         }
-        self.core.planner.hosts(full, members);
+        self.core.planner.update_hosts(full, members);
     }
 }
--- a/src/node/list/pace.rs
+++ b/src/node/list/pace.rs
@@ -9,7 +9,7 @@
 
 use super::backoff::Backoff;
 use crate::api::Settings;
-use crate::node::span;
+use crate::node::to_duration;
 
 /// Interval at which a watch sends an empty line while nothing changes.
 pub const WATCH_LINE_INTERVAL: Duration = Duration::from_secs(2);
@@ -74,7 +74,7 @@
 impl CallSchedule {
     /// Creates the schedule for these settings.
     pub fn new(settings: &Settings, seed: u64) -> Self {
-        let grace = span(settings.rules.drain_grace);
+        let grace = to_duration(settings.rules.drain_grace);
         let agent_step = (!settings.ask_for_list)
             .then(|| (grace / STEPS_PER_GRACE).clamp(AGENT_STEP_RANGE.0, AGENT_STEP_RANGE.1));
         let initial_delay = FAILED_CALL_DELAY_PER_CONDUCTOR
