--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -21,7 +21,7 @@
 use crate::api::{HostId, Load, Micros, Outcome, Role};
 use crate::node::counters::{Counters, add};
 use crate::node::log_sampler::LogSampler;
-use crate::node::request::Wanted;
+use crate::node::request::ClientPresence;
 
 /// Largest answer body that is read when the answer is not a stream.
 const MAX_ANSWER_BYTES: usize = 256 * 1024;
@@ -189,7 +189,7 @@
     /// answer.
     pub async fn start_attempt(
         self: &Rc<Self>, host: HostId, payload: &Payload, deadline: Instant,
-        (client, close_guard): (Wanted, Option<CloseGuard>),
+        (client, close_guard): (ClientPresence, Option<CloseGuard>),
     ) -> (InitialResult, Option<Load>) {
         let (started_at, mut write_status) = (Instant::now(), None);
         if started_at >= deadline {
@@ -225,7 +225,7 @@
     /// of the request's last byte, which the caller needs if it drops this future.
     async fn exchange(
         self: &Rc<Self>, host: HostId, payload: &Payload,
-        (deadline, client, close_guard): (Instant, Wanted, Option<CloseGuard>),
+        (deadline, client, close_guard): (Instant, ClientPresence, Option<CloseGuard>),
         write_status: &mut Option<WriteStatus>,
     ) -> (InitialResult, Option<Load>) {
         let ended = |outcome| (InitialResult::Ended(outcome), None);
--- a/src/node/upstream/lease_keeper.rs
+++ b/src/node/upstream/lease_keeper.rs
@@ -14,7 +14,7 @@
 use super::release::{ReleaseReason, release};
 use crate::api::{Micros, Outcome};
 use crate::logic::lease::{AttemptEnd, Lease};
-use crate::node::span;
+use crate::node::to_duration;
 
 /// Longest wait for a release before the next read of the prompt. A release that arrives after that read has
 /// started would release its state, too.
@@ -168,7 +168,7 @@
                 self.release(&mut inbox, &mut is_request_over).await;
                 continue;
             }
-            let release_at = self.start + span(next_release.unwrap_or_default());
+            let release_at = self.start + to_duration(next_release.unwrap_or_default());
             tokio::select! {
                 biased;
                 event = inbox.recv(), if !is_request_over => match event {
--- a/src/node/upstream/socket.rs
+++ b/src/node/upstream/socket.rs
@@ -14,8 +14,8 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::node::request::Wanted;
-use crate::node::uninterrupted::Uninterrupted;
+use crate::node::request::ClientPresence;
+use crate::node::uninterrupted::RetryInterrupted;
 
 /// How far a request has been written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -94,7 +94,7 @@
     /// deadline of the attempt must not have passed.
     Attempt {
         /// Whether the client still waits.
-        client: Wanted,
+        client: ClientPresence,
         /// When the attempt is cancelled.
         deadline: Instant,
     },
@@ -108,7 +108,7 @@
 /// TCP stream that checks and tracks one request at a time. Hyper flushes the stream only once its own buffer
 /// is empty, so an attempt whose last byte was not flushed is known never to have run.
 pub struct CheckedSocket {
-    socket: Uninterrupted<TcpStream>,
+    socket: RetryInterrupted<TcpStream>,
     status: WriteStatus,
     check: Rc<RefCell<SendCheck>>,
     accepts_work: Rc<Cell<bool>>,
@@ -119,7 +119,7 @@
     /// work.
     pub fn new(socket: TcpStream, accepts_work: Rc<Cell<bool>>) -> Self {
         CheckedSocket {
-            socket: Uninterrupted(socket),
+            socket: RetryInterrupted(socket),
             status: WriteStatus::default(),
             check: Rc::default(),
             accepts_work,
@@ -137,7 +137,7 @@
         let reason = match self.check.take() {
             SendCheck::Unchecked => return Ok(()),
             _ if !self.accepts_work.get() => NotSentReason::Draining,
-            SendCheck::Attempt { client, .. } if !client.holds() => NotSentReason::ClientGone,
+            SendCheck::Attempt { client, .. } if !client.is_waiting() => NotSentReason::ClientGone,
             SendCheck::Attempt { deadline, .. } if Instant::now() >= deadline => {
                 NotSentReason::DeadlinePassed
             }
