--- a/src/node/list/discovery.rs
+++ b/src/node/list/discovery.rs
@@ -21,7 +21,7 @@
 use super::pace::{CallReason, CallSchedule, CallTimeouts};
 use super::targets::{EntryFaults, ListDecoder, ListError, MAX_LIST_BYTES};
 use crate::node::counters::add;
-use crate::node::uninterrupted::Uninterrupted;
+use crate::node::uninterrupted::RetryInterrupted;
 
 /// Why a call to discovery failed or a watch was lost.
 #[derive(Debug, thiserror::Error)]
@@ -202,7 +202,7 @@
                 tracing::warn!(
                     "discovery: watch lost, {error}; keeping list version {version}, retrying in {delay_ms} ms"
                 );
-                self.fleet.core().planner.hosts_failed();
+                self.fleet.core().planner.host_list_failed();
                 self.unavailable_since = Some(now);
             }
         }
@@ -302,7 +302,7 @@
 async fn get(addr: SocketAddr, path: &str, response_timeout: Duration) -> Result<Incoming, WatchError> {
     let exchange = async {
         let socket = TcpStream::connect(addr).await.map_err(WatchError::Connect)?;
-        let (mut sender, connection) = http1::handshake(TokioIo::new(Uninterrupted(socket))).await?;
+        let (mut sender, connection) = http1::handshake(TokioIo::new(RetryInterrupted(socket))).await?;
         // The task ends with the response body, or when the body is dropped.
         tokio::task::spawn_local(connection);
         let request = Request::get(path).header("host", addr.to_string()).body(Empty::<Bytes>::new());
--- a/src/node/list/fleet.rs
+++ b/src/node/list/fleet.rs
@@ -23,8 +23,8 @@
 }
 
 impl HostNumbers {
-    /// Returns the number of an id, and assigns one if it has none. The number is a hash of the id, so that all conductors use the
-    /// same one whatever the order of the list.
+    /// Returns the number of an id, and assigns one if it has none. The number is a hash of the id, so that all conductors use
+    /// the same one whatever the order of the list.
     fn assign(&mut self, id: &str) -> HostId {
         if let Some(&host) = self.hosts.get(id) {
             return host;
@@ -114,7 +114,7 @@
             self.publish(false, std::slice::from_ref(&target));
             self.distrust_connections(id);
         }
-        self.core.planner.settled().await;
+        self.core.planner.flush().await;
         Ok(())
     }
 
@@ -128,7 +128,7 @@
             self.start_times.borrow_mut().record_restart(self.clock.now(), id, target.started_ms);
             self.publish(false, std::slice::from_ref(&target));
         }
-        self.core.planner.settled().await;
+        self.core.planner.flush().await;
         Ok(())
     }
 
@@ -160,7 +160,7 @@
     /// Passes instances to the planner and the pool. `full` means that all others are gone.
     fn publish(&self, full: bool, targets: &[Target]) {
         let pool = self.core.upstream.pool();
-        let (mut start_times, reading) = (self.start_times.borrow_mut(), self.clock.read());
+        let (mut start_times, reading) = (self.start_times.borrow_mut(), self.clock.read_both());
         start_times.update_clock(reading);
         let mut members = Vec::new();
         for target in targets {
@@ -215,6 +215,6 @@
             self.host_numbers.borrow_mut().retain(is_listed);
             start_times.retain(|id| self.host_numbers.borrow().hosts.contains_key(id));
         }
-        self.core.planner.hosts(full, members);
+        self.core.planner.update_hosts(full, members);
     }
 }
