--- a/src/node/list/start_times/tests.rs
+++ b/src/node/list/start_times/tests.rs
@@ -93,7 +93,7 @@
 
 /// An instance whose ban was lifted is cold, also if the wall clock was stepped back to before its last start.
 #[test]
-fn a_restart_holds_until_another_start_is_reported() {
+fn a_return_holds_until_another_start_is_told() {
     let mut start_times = StartTimes::default();
     start_times.update_clock(reading(100 * SECOND, 0));
     let listed_ms = reported_ms(95 * SECOND, 0);
--- a/src/node/upstream/pool/tests.rs
+++ b/src/node/upstream/pool/tests.rs
@@ -114,7 +114,7 @@
 /// Drops a connection while its request is in flight: the server sees the end of the sending half at once,
 /// and the close guard lives until the server has closed the connection, too.
 #[tokio::test]
-async fn the_close_guard_of_an_abandoned_attempt_lives_until_the_server_closes() {
+async fn the_end_of_an_attempt_that_was_given_up_is_seen_by_its_witness() {
     let test = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let addr = listener.local_addr().expect("the listener's address");
