--- a/src/node/front/mod.rs
+++ b/src/node/front/mod.rs
@@ -30,14 +30,14 @@
 
 use super::Core;
 use super::counters::add;
-use super::request::{Answer, Caller, Given, live};
+use super::request::{Answer, FinalAnswer, Responder, handle_request};
 use crate::api::NewRequest;
 use crate::node::process::readiness::Readiness;
 use crate::node::process::schedule::FIRST_REQUEST_TIME;
 use crate::node::process::shutdown::{Pending, Shutdown};
-use crate::node::uninterrupted::Uninterrupted;
+use crate::node::uninterrupted::RetryInterrupted;
 use crate::node::upstream::attempt::Payload;
-use crate::node::upstream::events::{Piece, StreamBroken};
+use crate::node::upstream::events::{StreamChunk, StreamError};
 use accept::Acceptor;
 use intake::body::BodyPermit;
 use intake::connection::{BUFFER, ConnectionState, Framed};
@@ -57,23 +57,23 @@
 
 /// A stream's body: pieces as they come, cut off where the stream broke.
 pub struct Pieces {
-    pieces: mpsc::Receiver<Piece>,
+    pieces: mpsc::Receiver<StreamChunk>,
     state: Option<Rc<ConnectionState>>,
 }
 
 impl Pieces {
     /// The body for a stream.
-    pub fn new(pieces: mpsc::Receiver<Piece>) -> Self {
+    pub fn new(pieces: mpsc::Receiver<StreamChunk>) -> Self {
         Pieces { pieces, state: None }
     }
 
     /// The whole of it in one piece; one that goes on and on is spoilt.
-    pub async fn whole(mut self) -> Result<Bytes, StreamBroken> {
+    pub async fn whole(mut self) -> Result<Bytes, StreamError> {
         let mut text = BytesMut::new();
         while let Some(piece) = self.pieces.recv().await {
             text.extend_from_slice(&piece?);
             if text.len() > WHOLE_MOST {
-                return Err(StreamBroken::Spoilt);
+                return Err(StreamError::Malformed);
             }
         }
         Ok(text.freeze())
@@ -88,11 +88,11 @@
 
 impl Body for Pieces {
     type Data = Bytes;
-    type Error = StreamBroken;
+    type Error = StreamError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, StreamBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         self.pieces.poll_recv(cx).map(|piece| piece.map(|p| p.map(Frame::data)))
     }
 }
@@ -102,18 +102,18 @@
 /// shutdown a request that comes too late is refused and nothing is sent for it.
 pub async fn begin<K: 'static>(
     core: &Core, shutdown: &Shutdown, ask: NewRequest, payload: (Payload, BodyPermit), keep: K,
-) -> Given {
+) -> FinalAnswer {
     if !shutdown.takes(&ask) {
         add(&core.counters.shed);
-        return Given { answer: Answer::Refused { come_back: None }, revision: None };
+        return FinalAnswer { answer: Answer::Refused { retry_after: None }, revision: None };
     }
-    let (caller, answer) = Caller::new(payload.0.id.clone());
+    let (caller, answer) = Responder::new(payload.0.id.clone());
     let (core, pending) = (core.clone(), shutdown.pending());
     spawn_local(async move {
-        live(core, ask, payload, caller).await;
+        handle_request(core, ask, payload, caller).await;
         drop((keep, pending));
     });
-    answer.await.unwrap_or(Given { answer: Answer::Failed, revision: None })
+    answer.await.unwrap_or(FinalAnswer { answer: Answer::Failed, revision: None })
 }
 
 /// Serves connections until the process ends and nothing arrives any more. With `tls` each client must prove its
@@ -129,7 +129,7 @@
     let mut acceptor = Acceptor::new(listener, intake.clone(), shutdown.clone());
     while let Some(socket) = acceptor.next().await {
         let _ = socket.set_nodelay(true);
-        let socket = Uninterrupted(socket);
+        let socket = RetryInterrupted(socket);
         let (place, pending) = (intake.enter(), shutdown.pending());
         match &tls {
             None => drop(spawn_local(connection(
--- a/src/node/process/succession.rs
+++ b/src/node/process/succession.rs
@@ -26,7 +26,7 @@
 use crate::node::counters::add;
 use crate::node::front::intake::Intake;
 use crate::node::list::fleet::Fleet;
-use crate::node::{Clock, span};
+use crate::node::{Clock, to_duration};
 
 /// For the other process to answer, before the newer starts on its own or the older hears the next.
 const ANSWER: Duration = Duration::from_secs(1);
@@ -211,11 +211,11 @@
                 let others = if part { self.shares.get() + 1 } else { self.shares.get().saturating_sub(1) };
                 self.shares.set(others);
                 self.intake.share(others > 0);
-                self.fleet.core().upstream.pool().share(others > 0);
+                self.fleet.core().upstream.pool().set_shared(others > 0);
             }
             Effect::Note(happening) => self.shutdown.note(happening),
             Effect::Ban(id) => drop(self.fleet.ban(&id).await),
-            Effect::Lift(id) => drop(self.fleet.lift(&id).await),
+            Effect::Lift(id) => drop(self.fleet.lift_ban(&id).await),
             Effect::HangUp => {}
         }
     }
@@ -242,7 +242,7 @@
             }
         });
         loop {
-            let wait = handover.due().map(|due| span(due - self.clock.now()));
+            let wait = handover.due().map(|due| to_duration(due - self.clock.now()));
             let effects = tokio::select! {
                 biased;
                 message = told.recv() => match message {
@@ -348,7 +348,7 @@
             membership: self.fleet.membership(),
             drained: self.shutdown.readiness().drained(),
             discovery: *self.discovery.borrow(),
-            learnt: self.fleet.core().planner.settled().await,
+            learnt: self.fleet.core().planner.flush().await,
             now: Some(self.clock.now()),
             settings: self.settings,
         };
