--- a/tests/player/mod.rs
+++ b/tests/player/mod.rs
@@ -409,6 +409,14 @@
     file(base, "chat.toml", &format!("{head}{servers}[[classes]]{tail}\n{more}"))
 }
 
+/// Returns whether the peer has closed its sending half and everything that it sent has been read.
+fn is_closed_by_peer(socket: &TcpStream) -> bool {
+    socket.set_nonblocking(true).expect("an open socket");
+    let peeked = socket.peek(&mut [0]);
+    socket.set_nonblocking(false).expect("an open socket");
+    matches!(peeked, Ok(0))
+}
+
 /// Serves the whole list, then a watch that takes lines from the result.
 pub fn discovery(base: &str, list: String) -> Sender<String> {
     let listener = TcpListener::bind(format!("{base}:8500")).expect("a free address");
@@ -419,6 +427,11 @@
             let mut head = String::new();
             let mut reader = BufReader::new(socket.try_clone().expect("a second handle"));
             while reader.read_line(&mut head).is_ok_and(|n| n > 2) {}
+            // Connections are served one at a time. A watch on one that its caller has abandoned would delay the next
+            // ones by seconds, more than the time in which further calls arrive.
+            if is_closed_by_peer(&socket) {
+                continue;
+            }
             if !head.contains("follow=1") {
                 let _ = write!(socket, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{whole}", whole.len());
                 continue;
